--- a/bench/encoding.cpp
+++ b/bench/encoding.cpp
@@ -12,26 +12,27 @@
 
 constexpr int kMembers = 1000;
 const Address kAt = *address_of("127.0.0.1:7946");
-const members::From kFrom{"node-0001", members::Start{1'700'000'000'000'000}, kAt, 0x1234567890abcdef, 1000};
+const members::Sender kFrom{"node-0001", members::Generation{1'700'000'000'000'000}, kAt, 0x1234567890abcdef,
+                            1000};
 
 std::string name_of(int i) { return "node-" + std::to_string(1000 + i); }
 
-struct Hearing final : members::Hearer {
+struct Hearing final : members::DatagramHandler {
   std::size_t words = 0;
-  void word_came(const members::From&, const members::Word&) override { ++words; }
+  void on_update(const members::Sender&, const members::MemberUpdate&) override { ++words; }
 };
 
 std::vector<std::string> packed() {
   std::vector<std::string> out;
   for (int i = 0; i < kMembers;) {
-    members::Writer w(members::Kind::views, "fleet", kFrom, members::Nonce{1});
+    members::DatagramWriter w(members::MessageKind::sync_updates, "fleet", kFrom, members::Nonce{1});
     for (; i < kMembers; ++i) {
       const std::string name = name_of(i);
-      if (!w.add({name, members::Start{1'700'000'000'000'000ull + static_cast<std::uint64_t>(i)}, 3,
-                  members::Standing::alive, kAt, "east", "0.14.0", "", name}))
+      if (!w.add({name, members::Generation{1'700'000'000'000'000ull + static_cast<std::uint64_t>(i)}, 3,
+                  members::MemberState::alive, kAt, "east", "0.14.0", "", name}))
         break;
     }
-    out.emplace_back(w.done());
+    out.emplace_back(w.finish());
   }
   return out;
 }
@@ -48,7 +49,7 @@
       nlohmann::json word = nlohmann::json::array(
           {name, 1'700'000'000'000'000 + i, 3, 1, place, "east", "0.14.0", nlohmann::json::binary({}), name});
       bytes += nlohmann::json::to_cbor(word).size();
-      if (bytes > members::kLongestDatagram) break;
+      if (bytes > members::kMaxDatagramBytes) break;
       all.push_back(std::move(word));
     }
     out.push_back(nlohmann::json::to_cbor(all));
@@ -76,7 +77,7 @@
   Hearing hearing;
   for (auto _ : state)
     for (const std::string& d : all)
-      if (decode(d, "fleet", hearing) != members::Wrong::none) state.SkipWithError("not read");
+      if (decode(d, "fleet", hearing) != members::DecodeError::none) state.SkipWithError("not read");
   if (std::int64_t(hearing.words) != state.iterations() * kMembers) state.SkipWithError("words are missing");
 }
 void CborReads(benchmark::State& state) {
--- a/fuzz/datagram.cpp
+++ b/fuzz/datagram.cpp
@@ -9,10 +9,10 @@
 
 using namespace flintweir;
 
-struct Hearing final : members::Hearer {
-  void word_came(const members::From&, const members::Word& w) override {
-    if (w.name.empty() || w.name.size() > members::kLongestName || w.note.size() > members::kLongestNote ||
-        w.standing > members::Standing::left)
+struct Hearing final : members::DatagramHandler {
+  void on_update(const members::Sender&, const members::MemberUpdate& w) override {
+    if (w.name.empty() || w.name.size() > members::kMaxNameBytes ||
+        w.metadata.size() > members::kMaxMetadataBytes || w.state > members::MemberState::left)
       std::abort();
   }
 };
@@ -24,8 +24,8 @@
   std::string bytes(reinterpret_cast<const char*>(data), size);
   decode(bytes, "", hearing);
   if (bytes.size() < 12) return 0;
-  bytes[0] = 'f', bytes[1] = 'w', bytes[2] = static_cast<char>(members::kVersion);
-  members::seal(bytes);
+  bytes[0] = 'f', bytes[1] = 'w', bytes[2] = static_cast<char>(members::kProtocolVersion);
+  members::write_checksum(bytes);
   decode(bytes, "", hearing);
   return 0;
 }
--- a/src/change_command.cpp
+++ b/src/change_command.cpp
@@ -121,15 +121,15 @@
 
 int change_show(const Address& at, bool json) {
   ViewClient members(at);
-  const members::Asker* const view = members.ask();
+  const members::ViewQuery* const view = members.ask();
   if (!view)
     return std::fprintf(stderr, "flintweir: nobody answers at %s\n", to_text(at).c_str()), kChangeNoAnswer;
   Client client(at, "");
-  std::map<std::uint64_t, const members::Asker::Row*> asked;
+  std::map<std::uint64_t, const members::ViewQuery::Row*> asked;
   std::uint64_t nonce = 0;
   for (const auto& row : view->rows())
-    if (row.standing == members::Standing::alive || row.standing == members::Standing::suspected ||
-        row.standing == members::Standing::joining)
+    if (row.state == members::MemberState::alive || row.state == members::MemberState::suspected ||
+        row.state == members::MemberState::joining)
       asked[++nonce] = &row;
   for (int tries = 0; tries < 3; ++tries) {
     for (const auto& [no, row] : asked)
--- a/src/lab/fleet/plain_peers.h
+++ b/src/lab/fleet/plain_peers.h
@@ -15,7 +15,7 @@
 
 enum class PlainWay { heartbeats, swim };
 
-class PlainPeers final : members::Hearer, net::DatagramEvents, net::Woken {
+class PlainPeers final : members::DatagramHandler, net::DatagramEvents, net::Woken {
  public:
   PlainPeers(net::Network& network, net::Wakes& wakes, PlainWay way, const Address& at, std::string name,
              std::vector<Address> seeds, Micros interval, std::uint64_t seed);
@@ -23,9 +23,9 @@
 
  private:
   struct Member {
-    members::Start start;
+    members::Generation start;
     std::uint32_t word = 0;
-    members::Standing standing = members::Standing::alive;
+    members::MemberState standing = members::MemberState::alive;
     Address address;
     Micros heard{0}, since{0};
     int sends = 0;
@@ -35,19 +35,19 @@
 
   void datagram_waits() override;
   void woken(std::uint64_t token) override;
-  void word_came(const members::From& from, const members::Word& w) override;
-  void ping_came(const members::From& from, members::Nonce nonce) override;
-  void ack_came(const members::From& from, members::Nonce nonce) override;
-  void ask_came(const members::From& from, members::Nonce nonce, std::string_view whom,
-                const Address& at) override;
-  void query_came(members::Nonce nonce, std::string_view after) override;
+  void on_update(const members::Sender& from, const members::MemberUpdate& w) override;
+  void on_ping(const members::Sender& from, members::Nonce nonce) override;
+  void on_ack(const members::Sender& from, members::Nonce nonce) override;
+  void on_ping_request(const members::Sender& from, members::Nonce nonce, std::string_view whom,
+                       const Address& at) override;
+  void on_view_query(members::Nonce nonce, std::string_view after) override;
 
   void beat_to_all();
   void probe();
-  void set(Member& m, members::Standing standing);
-  members::Word word_of(const std::string& name, const Member& m) const;
-  members::From from() const;
-  void send(members::Kind kind, const Address& to, members::Nonce nonce, bool all = false);
+  void set(Member& m, members::MemberState standing);
+  members::MemberUpdate update_of(const std::string& name, const Member& m) const;
+  members::Sender from() const;
+  void send(members::MessageKind kind, const Address& to, members::Nonce nonce, bool all = false);
   std::size_t below(std::size_t n) { return chance_() % n; }
 
   net::Network& network_;
--- a/src/lab/fleet/rig.cpp
+++ b/src/lab/fleet/rig.cpp
@@ -17,7 +17,7 @@
 // Asks one process after the other for its view, over the network, as `flintweir members` does.
 class Onlooker final : net::DatagramEvents {
  public:
-  using Got = std::function<void(const members::Asker&)>;
+  using Got = std::function<void(const members::ViewQuery&)>;
   explicit Onlooker(RigStage& stage) : stage_(stage) {
     stage_.onlooker().open_datagrams(stage_.onlooker_at());
     stage_.onlooker().wait_datagram(*this);
@@ -25,26 +25,26 @@
   void ask(RigPlace whom, Got got) {
     Asked& a = asked_[stage_.hears_at(whom)];
     // One whose answer got lost is asked again from the start.
-    a = {members::Asker(++nonces_ << 20), std::move(got), stage_.now()};
-    stage_.onlooker().send_datagram(stage_.hears_at(whom), a.asker.question());
+    a = {members::ViewQuery(++nonces_ << 20), std::move(got), stage_.now()};
+    stage_.onlooker().send_datagram(stage_.hears_at(whom), a.asker.next_request());
   }
   // A large view is more than a node shows at once: the part that it held back is asked for again.
   void ask_again(Micros patience) {
     for (auto& [whom, a] : asked_) {
       if (stage_.now() - a.heard < patience) continue;
       a.heard = stage_.now();
-      stage_.onlooker().send_datagram(whom, a.asker.question());
+      stage_.onlooker().send_datagram(whom, a.asker.next_request());
     }
   }
 
  private:
   struct Asked {
-    members::Asker asker{0};
+    members::ViewQuery asker{0};
     Got got;
     Micros heard{0};
   };
   void datagram_waits() override {
-    char bytes[members::kLongestDatagram + 1];
+    char bytes[members::kMaxDatagramBytes + 1];
     for (;;) {
       const net::Received r = stage_.onlooker().receive(bytes, sizeof bytes);
       if (r.how == net::Io::later) break;
@@ -56,7 +56,7 @@
         done.got(done.asker);
       } else {
         it->second.heard = stage_.now();
-        stage_.onlooker().send_datagram(it->first, it->second.asker.question());
+        stage_.onlooker().send_datagram(it->first, it->second.asker.next_request());
       }
     }
     stage_.onlooker().wait_datagram(*this);
@@ -405,7 +405,7 @@
     for (unsigned no = 0; no < units_.size(); ++no) {
       Unit& u = units_[no];
       if (!u.up || u.frozen || no % parts != round % parts) continue;
-      onlooker_.ask(u.at, [this, no, at = u.at](const members::Asker& view) {
+      onlooker_.ask(u.at, [this, no, at = u.at](const members::ViewQuery& view) {
         Unit& unit = units_[no];
         if (!unit.up || unit.at != at) return;
         unit.heard_from = stage_.now();
--- a/src/lab/fleet/rig_checker.cpp
+++ b/src/lab/fleet/rig_checker.cpp
@@ -5,14 +5,16 @@
 namespace flintweir::lab {
 namespace {
 
-using members::Standing;
+using members::MemberState;
 
 constexpr int kLearns = 20;    // intervals after its start a process has heard what is remembered of its name
 constexpr int kGhostFor = 60;  // intervals after a kill that a name may still stand as alive
 // Bytes that a node may send in a second: what docs/members.md states, with a burst.
 constexpr std::size_t kMostBytes = (64 + 16 + 2) << 10;
 
-bool lives(Standing s) { return s == Standing::alive || s == Standing::suspected || s == Standing::leaving; }
+bool lives(MemberState s) {
+  return s == MemberState::alive || s == MemberState::suspected || s == MemberState::leaving;
+}
 
 }  // namespace
 
@@ -43,7 +45,7 @@
     it->second.paused = on, it->second.from = now;
 }
 
-void RigChecker::seen(const std::string& name, const members::Asker& view, Micros now) {
+void RigChecker::seen(const std::string& name, const members::ViewQuery& view, Micros now) {
   const auto it = running_.find(name);
   if (it == running_.end()) return;
   Running& r = it->second;
@@ -51,52 +53,52 @@
   r.asked = true;
   r.digest = view.digest();
   // It has started anew, and may ask anew for those whom it had called failed while it was cut off.
-  if (view.start() != r.start)
+  if (view.responder_generation() != r.start)
     for (auto& [held, last] : r.holds) last.dead = {};
-  r.start = view.start();
+  r.start = view.responder_generation();
   r.listed.clear();
-  for (const members::Asker::Row& row : view.rows()) {
+  for (const members::ViewQuery::Row& row : view.rows()) {
     const bool fresh = !r.holds.contains(row.name);
     Last& last = r.holds[row.name];
     const std::string who = name + " of " + row.name;
     const bool runs = running_.contains(row.name);
-    if (lives(row.standing)) r.listed.insert(row.name);
-    if (row.name == name && row.standing != Standing::joining) {
+    if (lives(row.state)) r.listed.insert(row.name);
+    if (row.name == name && row.state != MemberState::joining) {
       // What it says of itself: later at each start, and the same while nobody could call it failed.
       // Where somebody whom it knows has run since before its last end: else nobody can remember.
       const auto remembers = [&](const auto& other) {
         return other.first != name && other.second.from < down_[name] && r.listed.contains(other.first);
       };
-      members::Start& last_own = last_start_[name];
-      if (row.start < last_own && now - r.from > interval_ * kLearns &&
+      members::Generation& last_own = last_start_[name];
+      if (row.generation < last_own && now - r.from > interval_ * kLearns &&
           std::any_of(running_.begin(), running_.end(), remembers))
         broken(RigRule::back, now, name + " runs by an earlier start than before");
-      last_own = std::max(last_own, row.start);
-      const members::Start first = first_start_.try_emplace(name, row.start).first->second;
-      if (row.start != first && !accused_.contains(name))
+      last_own = std::max(last_own, row.generation);
+      const members::Generation first = first_start_.try_emplace(name, row.generation).first->second;
+      if (row.generation != first && !accused_.contains(name))
         broken(RigRule::falsely, now, name + " had to start anew and had run all the time");
     }
     if (!fresh) {
-      if (row.start < last.start) broken(RigRule::back, now, who + ": an earlier start");
-      if (row.start == last.start && row.word < last.word)
+      if (row.generation < last.start) broken(RigRule::back, now, who + ": an earlier start");
+      if (row.generation == last.start && row.incarnation < last.word)
         broken(RigRule::back, now, who + ": an earlier word");
     }
-    if (lives(row.standing) && last.dead.value != 0 && row.start <= last.dead)
+    if (lives(row.state) && last.dead.value != 0 && row.generation <= last.dead)
       broken(runs ? RigRule::back : RigRule::ghost, now, who + ": alive again by the start that had failed");
-    if (row.standing == Standing::failed) {
-      last.dead = std::max(last.dead, row.start);
+    if (row.state == MemberState::failed) {
+      last.dead = std::max(last.dead, row.generation);
       if (const auto own = last_start_.find(row.name);
-          runs && own != last_start_.end() && row.start == own->second)
-        called_failed_.emplace(row.name, row.start);
+          runs && own != last_start_.end() && row.generation == own->second)
+        called_failed_.emplace(row.name, row.generation);
       if (!accuses_.contains(name) && !accused_.contains(row.name) && runs)
         broken(RigRule::falsely, now, who + ": called failed");
     }
     if (const auto ended = down_.find(row.name);
-        !runs && ended != down_.end() && lives(row.standing) && !accuses_.contains(name) &&
+        !runs && ended != down_.end() && lives(row.state) && !accuses_.contains(name) &&
         now - std::max(ended->second, r.from) > interval_ * kGhostFor)
-      broken(RigRule::ghost, now, who + ": still " + members::name_of(row.standing));
-    last.start = row.start;
-    last.word = row.word;
+      broken(RigRule::ghost, now, who + ": still " + members::name_of(row.state));
+    last.start = row.generation;
+    last.word = row.incarnation;
   }
   const bool exact =
       r.listed.size() == running_.size() &&
@@ -112,7 +114,7 @@
   Running& r = it->second;
   if (now - r.second >= Micros{1'000'000}) r.second = now, r.bytes = 0;
   r.bytes += bytes;
-  if (bytes > members::kLongestDatagram || (r.bytes > kMostBytes && r.bytes - bytes <= kMostBytes))
+  if (bytes > members::kMaxDatagramBytes || (r.bytes > kMostBytes && r.bytes - bytes <= kMostBytes))
     broken(RigRule::bound, now, name + " sent " + std::to_string(r.bytes) + " bytes in a second");
 }
 
--- a/src/lab/fleet/rig_checker.h
+++ b/src/lab/fleet/rig_checker.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "members/asker.h"
+#include "members/view_query.h"
 
 namespace flintweir::lab {
 
@@ -41,7 +41,7 @@
   void may_accuse(const std::string& name) { accuses_.insert(name); }
   void paused(const std::string& name, bool on, Micros now);
   // A process answered for its view.
-  void seen(const std::string& name, const members::Asker& view, Micros now);
+  void seen(const std::string& name, const members::ViewQuery& view, Micros now);
   void sent(const std::string& name, std::size_t bytes, Micros now);
   void unanswered(const std::string& name, const std::string& what, Micros now);
   // One line of a running process's log, from its start on, before settled().
@@ -63,13 +63,13 @@
 
  private:
   struct Last {
-    members::Start start;
+    members::Generation start;
     std::uint32_t word = 0;
-    members::Start dead;  // the latest start that was called failed
+    members::Generation dead;  // the latest start that was called failed
   };
   struct Running {
     std::uint64_t digest = 0;
-    members::Start start;
+    members::Generation start;
     std::map<std::string, Last> holds;
     std::set<std::string> listed;  // in the last answer, and not failed
     Micros from{0};                // it runs, or goes on after a pause
@@ -85,10 +85,10 @@
   Micros interval_;
   std::function<void(const RigBroken&)> broken_;
   std::map<std::string, Running> running_;
-  std::map<std::string, Micros> down_;                              // the last end of each name
-  std::map<std::string, members::Start> first_start_, last_start_;  // by what they say of themselves
+  std::map<std::string, Micros> down_;                                   // the last end of each name
+  std::map<std::string, members::Generation> first_start_, last_start_;  // by what they say of themselves
   std::set<std::string> accused_, accuses_;
-  std::set<std::pair<std::string, members::Start>> called_failed_;
+  std::set<std::pair<std::string, members::Generation>> called_failed_;
   bool logs_ = false;          // anybody; the plain ways of knowing each other log nothing
   std::uint64_t changes_ = 1;  // of whoever runs
   std::uint64_t looks_ = 0, sent_bytes_ = 0;
--- a/src/lab/leases/lease_rig.cpp
+++ b/src/lab/leases/lease_rig.cpp
@@ -190,7 +190,7 @@
     own_.fleet->address = own_.fleet->seeds.front();
     stage_.vote(*own_.leases);
     for (unsigned n = 0; n < kVoters + count_; ++n)
-      stage_.set_rate({n, 0}, mix(seed + n) % 2 ? 1 - leases::kRateBound : 1 + leases::kRateBound);
+      stage_.set_rate({n, 0}, mix(seed + n) % 2 ? 1 - leases::kMaxClockDrift : 1 + leases::kMaxClockDrift);
     ledger_.runs = [this](int pid) {
       return std::any_of(holders_.begin(), holders_.end(),
                          [&](const auto& h) { return h.second->pid == pid; });
--- a/src/lab/leases/lease_search.cpp
+++ b/src/lab/leases/lease_search.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <unordered_set>
 
-#include "leases/seeker.h"
+#include "leases/candidate.h"
 #include "leases/voter.h"
 
 namespace flintweir::lab {
@@ -24,8 +24,8 @@
   std::uint32_t voter, seeker;
   bool answer;
   // Of a request or an answer; texts of their own.
-  Ask ask{};
-  Say say{};
+  RequestKind ask{};
+  ReplyKind say{};
   Token token, highest;
   Round round;
   Micros left{0};
@@ -33,10 +33,10 @@
 };
 
 // A place to keep what voters promise, apart from the voter.
-struct Kept final : Folder {
-  std::vector<Folder::Kept> all;
-  bool keep(const Folder::Kept& kept) override {
-    for (Folder::Kept& k : all)
+struct Kept final : VoterStorage {
+  std::vector<VoterStorage::Record> all;
+  bool save(const VoterStorage::Record& kept) override {
+    for (VoterStorage::Record& k : all)
       if (k.lease == kept.lease) return k = kept, true;
     all.push_back(kept);
     return true;
@@ -70,7 +70,7 @@
       seekers_.push_back(std::make_unique<Unit>(*this, *o.seekers_[s]));
     // Each voter writes to this world's folders.
     if (what_.folders)
-      for (std::uint32_t v = 0; v < voters_.size(); ++v) voters_[v].keep_in(&kept_[v]);
+      for (std::uint32_t v = 0; v < voters_.size(); ++v) voters_[v].set_storage(&kept_[v]);
   }
 
   const std::string& broken() const { return broken_; }
@@ -91,8 +91,8 @@
       const Unit& u = *seekers_[s];
       if (u.due && *u.due <= clock(s)) out.push_back({Step::Kind::wake, s});
       Nobody nobody;
-      Seeker look(u.seeker, nobody);
-      look.at(clock(s));
+      Candidate look(u.seeker, nobody);
+      look.set_time(clock(s));
       if (look.holds()) {
         out.push_back({Step::Kind::act, s});
         // While an act is open the code itself does not.
@@ -121,8 +121,8 @@
       case Step::Kind::wake: {
         Unit& u = *seekers_[step.no];
         u.due.reset();
-        u.seeker.at(clock(step.no));
-        return u.seeker.woken(u.due_id);
+        u.seeker.set_time(clock(step.no));
+        return u.seeker.timer_expired(u.due_id);
       }
       case Step::Kind::pass:
         now_ += scaled(kLength, what_.step);
@@ -136,9 +136,9 @@
         return;
       case Step::Kind::let_go: {
         Unit& u = *seekers_[step.no];
-        u.seeker.at(clock(step.no));
-        u.seeker.let_go();
-        u.seeker.want();
+        u.seeker.set_time(clock(step.no));
+        u.seeker.release();
+        u.seeker.acquire();
         return;
       }
     }
@@ -154,12 +154,12 @@
                        std::to_string(last_held_.value) + ',' + std::to_string(last_act_.value);
     for (std::uint32_t v = 0; v < voters_.size(); ++v) {
       text += "\n";
-      voters_[v].tell(voter_clock(v), text);
+      voters_[v].append_state(voter_clock(v), text);
     }
     for (std::uint32_t s = 0; s < seekers_.size(); ++s) {
       const Unit& u = *seekers_[s];
       text += "\n" + std::to_string(u.due ? std::max(*u.due - clock(s), Micros{0}).count() : -1) + ' ';
-      u.seeker.tell(text);
+      u.seeker.append_state(text);
     }
     std::vector<std::string> in_flight;
     for (const Message& m : flying_)
@@ -187,38 +187,38 @@
   void begin_all() {
     if (!what_.folders) now_ = kLength * 2;  // voters have been silent long enough
     for (std::uint32_t s = 0; s < seekers_.size(); ++s) {
-      seekers_[s]->seeker.at(clock(s));
-      seekers_[s]->seeker.want();
+      seekers_[s]->seeker.set_time(clock(s));
+      seekers_[s]->seeker.acquire();
       if (s == 0 && what_.held) let_first_hold();
     }
   }
 
  private:
-  struct Unit final : Seeker::Outlet {
+  struct Unit final : Candidate::Delegate {
     Unit(World& of, std::uint32_t no)
         : world(of), no(no), seeker(*this, kLease, of.what_.voters, kLength, Token{100}, no + 1) {}
     Unit(World& of, const Unit& o)
         : world(of), no(o.no), seeker(o.seeker, *this), due(o.due), due_id(o.due_id) {}
-    void ask(VoterNo v, const Request& r) override {
-      world.fly({v.value, no, false, r.ask, {}, r.token, {}, r.round, r.length, {}});
+    void send_request(VoterIndex v, const Request& r) override {
+      world.fly({v.value, no, false, r.kind, {}, r.token, {}, r.round, r.duration, {}});
     }
-    void wake(Micros in, WakeId id) override { due = world.clock(no) + in, due_id = id; }
-    void held(Token token) override { world.held(no, token); }
-    void lost(Token, std::string_view) override {}
-    void waits(std::string_view) override {}
+    void set_timer(Micros delay, WakeId timer) override { due = world.clock(no) + delay, due_id = timer; }
+    void on_acquired(Token token) override { world.held(no, token); }
+    void on_lost(Token, std::string_view) override {}
+    void on_waiting(std::string_view) override {}
     World& world;
     std::uint32_t no;
-    Seeker seeker;
+    Candidate seeker;
     std::optional<Micros> due;
     WakeId due_id;
   };
   // Nothing that a copy does may reach the state that it was copied from.
-  struct Nobody final : Seeker::Outlet {
-    void ask(VoterNo, const Request&) override {}
-    void wake(Micros, WakeId) override {}
-    void held(Token) override {}
-    void lost(Token, std::string_view) override {}
-    void waits(std::string_view) override {}
+  struct Nobody final : Candidate::Delegate {
+    void send_request(VoterIndex, const Request&) override {}
+    void set_timer(Micros, WakeId) override {}
+    void on_acquired(Token) override {}
+    void on_lost(Token, std::string_view) override {}
+    void on_waiting(std::string_view) override {}
   };
   struct Open {
     std::uint32_t seeker;
@@ -230,12 +230,12 @@
   static Micros scaled(Micros t, double by) {
     return Micros{static_cast<std::int64_t>(static_cast<double>(t.count()) * by)};
   }
-  static double rate(std::uint32_t no) { return no % 2 == 0 ? 1 - kRateBound : 1 + kRateBound; }
+  static double rate(std::uint32_t no) { return no % 2 == 0 ? 1 - kMaxClockDrift : 1 + kMaxClockDrift; }
   Micros clock(std::uint32_t seeker) const { return scaled(now_, rate(seeker)); }
   Micros voter_clock(std::uint32_t voter) const { return scaled(now_, rate(voter + 1)); }
 
   Voter make_voter(std::uint32_t v, bool again) {
-    Folder* const folder = what_.folders ? &kept_[v] : nullptr;
+    VoterStorage* const folder = what_.folders ? &kept_[v] : nullptr;
     // The wall clock of whoever starts again shows more than any token: seconds, where tokens grow by one.
     const Token floor{again ? 1000 * (1 + restarts_) : 100};
     return Voter(kLength, floor, voter_clock(v), folder, folder ? std::optional(kept_[v].all) : std::nullopt);
@@ -250,23 +250,23 @@
   void deliver(const Message& m) {
     Unit& u = *seekers_[m.seeker];
     if (m.answer) {
-      u.seeker.at(clock(m.seeker));
-      u.seeker.answered(VoterNo{m.voter}, {m.say, kLease, m.token, m.round, m.highest, m.holder, m.left});
+      u.seeker.set_time(clock(m.seeker));
+      u.seeker.on_reply(VoterIndex{m.voter}, {m.say, kLease, m.token, m.round, m.highest, m.holder, m.left});
       if (u.seeker.holds()) alone(m.seeker);
       return;
     }
-    const auto reply = voters_[m.voter].asked(voter_clock(m.voter), {m.ask, kLease, m.token, m.round, m.left},
-                                              "s" + std::to_string(m.seeker));
+    const auto reply = voters_[m.voter].handle(
+        voter_clock(m.voter), {m.ask, kLease, m.token, m.round, m.left}, "s" + std::to_string(m.seeker));
     if (reply)
       fly({m.voter,
            m.seeker,
            true,
            {},
-           reply->say,
+           reply->kind,
            reply->token,
-           reply->highest,
+           reply->highest_promised,
            reply->round,
-           reply->left,
+           reply->remaining,
            std::string(reply->holder)});
   }
 
@@ -282,16 +282,16 @@
     for (std::uint32_t s = 0; s < seekers_.size(); ++s) {
       if (s == by) continue;
       Nobody nobody;
-      Seeker look(seekers_[s]->seeker, nobody);
-      look.at(clock(s));
+      Candidate look(seekers_[s]->seeker, nobody);
+      look.set_time(clock(s));
       if (look.holds()) broken_ = "two-hold";
     }
   }
 
   void act(std::uint32_t s) {
     Unit& u = *seekers_[s];
-    u.seeker.at(clock(s));
-    const auto act = u.seeker.act(kAct);
+    u.seeker.set_time(clock(s));
+    const auto act = u.seeker.begin_operation(kAct);
     if (!act) return;
     for (const Open& o : open_)
       if (o.seeker != s) broken_ = "two-at-once";
--- a/src/lease_command.cpp
+++ b/src/lease_command.cpp
@@ -148,7 +148,7 @@
 };
 
 // Asks all voters for what they have granted.
-class Look final : net::DatagramEvents, leases::Hearer {
+class Look final : net::DatagramEvents, leases::DatagramHandler {
  public:
   explicit Look(const setup::OperatorFile& own)
       : own_(own), places_(network_, *own.fleet, own.leases->voters, random_seed()) {
@@ -183,15 +183,15 @@
   void ask(std::size_t voter, std::string_view after) {
     const Address* const at = places_.of(voter);
     if (!at) return;
-    leases::Writer writer(leases::Writer::Kind::requests, {0, "look", here_});
-    writer.add(leases::Request{leases::Ask::look, after, {}, {}, 0us});
-    network_.send_datagram(*at, writer.done());
+    leases::DatagramWriter writer(leases::DatagramWriter::Kind::requests, {0, "look", here_});
+    writer.add(leases::Request{leases::RequestKind::query, after, {}, {}, 0us});
+    network_.send_datagram(*at, writer.finish());
   }
   void datagram_waits() override {
     node::hear_post(network_, *this, *this, places_);
     network_.stop();
   }
-  void shown_came(const leases::Sender& from, const leases::Shown& s) override {
+  void on_lease_status(const leases::Sender& from, const leases::LeaseStatus& s) override {
     const auto voter = places_.named(from.name);
     if (!voter || whole_.contains(*voter)) return;
     after_[*voter] = s.lease;
@@ -199,10 +199,10 @@
     row.waiting = std::max(row.waiting, s.waiting);
     if (s.token.value < row.token || s.holder.empty()) return;
     if (s.token.value > row.token) row.voters = 0;
-    row.holder = s.holder, row.token = s.token.value, row.left = std::max(row.left, s.left);
+    row.holder = s.holder, row.token = s.token.value, row.left = std::max(row.left, s.remaining);
     ++row.voters;
   }
-  void page_came(const leases::Sender& from, bool last) override {
+  void on_status_page(const leases::Sender& from, bool last) override {
     const auto voter = places_.named(from.name);
     if (!voter || whole_.contains(*voter)) return;
     last ? void(whole_.insert(*voter)) : ask(*voter, after_[*voter]);
--- a/src/leases/seeker.cpp
+++ b/src/leases/candidate.cpp
@@ -1,4 +1,4 @@
-#include "leases/seeker.h"
+#include "leases/candidate.h"
 
 #include <algorithm>
 #include <bit>
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-Seeker::Seeker(Outlet& outlet, std::string lease, std::size_t voters, Micros length, Token base,
-               std::uint64_t seed)
-    : outlet_(outlet),
+Candidate::Candidate(Delegate& delegate, std::string lease, std::size_t voters, Micros length, Token base,
+                     std::uint64_t seed)
+    : delegate_(delegate),
       lease_(std::move(lease)),
       voters_(voters),
       length_(length),
@@ -25,8 +25,8 @@
       seen_(base),
       round_{seed << 20} {}
 
-Seeker::Seeker(const Seeker& of, Outlet& outlet)
-    : outlet_(outlet),
+Candidate::Candidate(const Candidate& of, Delegate& delegate)
+    : delegate_(delegate),
       lease_(of.lease_),
       holder_(of.holder_),
       why_(of.why_),
@@ -48,7 +48,7 @@
       wanted_(of.wanted_),
       in_line_(of.in_line_) {}
 
-void Seeker::tell(std::string& out) const {
+void Candidate::append_state(std::string& out) const {
   out += std::to_string(static_cast<int>(phase_)) + (wanted_ ? 'w' : '-');
   for (const std::uint64_t n : {seen_.value, token_.value, round_.value, yes_, no_, turn_})
     out += ' ' + std::to_string(n);
@@ -57,98 +57,100 @@
 }
 
 // Guards against a process that was stopped: whatever it does next, it first finds that its time is over.
-void Seeker::at(Micros now) {
+void Candidate::set_time(Micros now) {
   now_ = std::max(now, now_);
   if (phase_ == Phase::holding && now_ >= end_) lose("its time was over before a majority renewed it");
 }
 
-void Seeker::want() {
+void Candidate::acquire() {
   if (std::exchange(wanted_, true)) return;
   begin_round();
 }
 
-void Seeker::let_go() {
+void Candidate::release() {
   wanted_ = false;
   if (phase_ == Phase::holding && acts_ > 0) return;  // when the last is over
   give_back();
 }
 
-void Seeker::give_back() {
+void Candidate::give_back() {
   const bool held = phase_ == Phase::holding;
-  if (phase_ != Phase::idle && phase_ != Phase::waiting) ask_all(Ask::release);
+  if (phase_ != Phase::idle && phase_ != Phase::waiting) ask_all(RequestKind::release);
   phase_ = Phase::idle;
   ++turn_;
-  if (held) outlet_.lost(token_, "let go");
+  if (held) delegate_.on_lost(token_, "let go");
 }
 
-std::optional<Seeker::Act> Seeker::act(Micros most) {
-  if (!wanted_ || !holds() || most > end_ - now_) return std::nullopt;
+std::optional<Candidate::Operation> Candidate::begin_operation(Micros max_duration) {
+  if (!wanted_ || !holds() || max_duration > end_ - now_) return std::nullopt;
   ++acts_;
-  return Act(*this, token_);
+  return Operation(*this, token_);
 }
 
-void Seeker::act_over() {
+void Candidate::act_over() {
   --acts_;
   if (acts_ == 0 && !wanted_ && phase_ == Phase::holding) give_back();
 }
 
-Micros Seeker::drawn(Micros most) {
+Micros Candidate::drawn(Micros most) {
   return Micros{static_cast<std::int64_t>(static_cast<double>(most.count()) *
                                           std::generate_canonical<double, 32>(chance_))};
 }
 
-void Seeker::wake(Micros in, Due due) {
-  outlet_.wake(in, WakeId{++turn_ << 8 | static_cast<std::uint64_t>(due)});
+void Candidate::wake(Micros in, Due due) {
+  delegate_.set_timer(in, WakeId{++turn_ << 8 | static_cast<std::uint64_t>(due)});
 }
 
-bool Seeker::majority(std::uint64_t who) const {
+bool Candidate::majority(std::uint64_t who) const {
   return 2 * static_cast<std::size_t>(std::popcount(who)) > voters_;
 }
 
-void Seeker::ask_one(VoterNo voter, Ask ask) { outlet_.ask(voter, {ask, lease_, token_, round_, length_}); }
+void Candidate::ask_one(VoterIndex voter, RequestKind ask) {
+  delegate_.send_request(voter, {ask, lease_, token_, round_, length_});
+}
 
-void Seeker::ask_all(Ask ask) {
-  for (std::uint32_t v = 0; v < voters_; ++v) ask_one(VoterNo{v}, ask);
+void Candidate::ask_all(RequestKind ask) {
+  for (std::uint32_t v = 0; v < voters_; ++v) ask_one(VoterIndex{v}, ask);
 }
 
-void Seeker::begin_round() {
+void Candidate::begin_round() {
   phase_ = Phase::promising;
   ++round_.value;
   yes_ = no_ = 0;
   held_for_ = Micros{0};
   in_line_ = false;
   token_ = seen_ = Token{seen_.value + 1};
-  ask_all(Ask::promise);
+  ask_all(RequestKind::prepare);
   wake(length_ / kAnswers, Due::again);
 }
 
-void Seeker::wait(Micros in, std::string_view why) {
+void Candidate::wait(Micros in, std::string_view why) {
   phase_ = Phase::waiting;
-  if (why != why_) outlet_.waits(why_ = why);
+  if (why != why_) delegate_.on_waiting(why_ = why);
   wake(in, Due::again);
 }
 
-void Seeker::lose(std::string_view why) {
-  outlet_.lost(token_, why);
+void Candidate::lose(std::string_view why) {
+  delegate_.on_lost(token_, why);
   tries_ = 0;
   if (wanted_) return wait(drawn(length_ / kAnswers), why);
   phase_ = Phase::idle;
   ++turn_;
 }
 
-void Seeker::renew() {
+void Candidate::renew() {
   ++round_.value;
   yes_ = no_ = 0;
   sent_at_ = now_;
-  ask_all(Ask::grant);
+  ask_all(RequestKind::grant);
   // Again soon where answers get lost; the end comes by itself.
-  wake(std::min(usable(length_) / kRenews, std::max(end_ - now_, Micros{0})),
+  wake(std::min(usable_duration(length_) / kRenews, std::max(end_ - now_, Micros{0})),
        now_ < end_ ? Due::renew : Due::end);
 }
 
-void Seeker::woken(WakeId id) {
-  if (id.value >> 8 != turn_) return;
-  const auto due = static_cast<Due>(id.value & 0xff);
+void Candidate::timer_expired(WakeId timer) {
+  if (timer.value >> 8 != turn_) return;
+  const auto due = static_cast<Due>(timer.value & 0xff);
   if (due != Due::again) {
     if (phase_ == Phase::holding) renew();
     return;
@@ -160,9 +162,9 @@
   wait(drawn(most), "no majority of the voters answers");
 }
 
-void Seeker::answered(VoterNo voter, const Reply& r) {
-  seen_ = std::max(seen_, r.highest);
-  if (r.say == Say::freed) {
+void Candidate::on_reply(VoterIndex voter, const Reply& r) {
+  seen_ = std::max(seen_, r.highest_promised);
+  if (r.kind == ReplyKind::released) {
     // A few hear of it at once.
     if (phase_ == Phase::waiting && wanted_) wake(drawn(length_ / kSoon), Due::again);
     return;
@@ -172,44 +174,44 @@
   const std::uint64_t bit = 1ull << voter.value;
   const bool asks = phase_ == Phase::promising || phase_ == Phase::granting || phase_ == Phase::holding;
   if (!asks || r.token != token_) return;
-  switch (r.say) {
-    case Say::promised:
+  switch (r.kind) {
+    case ReplyKind::promised:
       // Also from one that had not promised it before a majority had: it may grant as well.
-      if (phase_ != Phase::promising) return ask_one(voter, Ask::grant);
+      if (phase_ != Phase::promising) return ask_one(voter, RequestKind::grant);
       yes_ |= bit;
       if (!majority(yes_)) return;
       phase_ = Phase::granting;
       ++round_.value;
       yes_ = no_ = 0;
       sent_at_ = now_;
-      ask_all(Ask::grant);
+      ask_all(RequestKind::grant);
       return wake(length_ / kAnswers, Due::again);
-    case Say::granted:
+    case ReplyKind::granted:
       yes_ |= bit;
       if (phase_ == Phase::promising || !majority(yes_)) return;
       // Counted from before it was asked for.
-      end_ = std::max(end_, sent_at_ + usable(length_));
+      end_ = std::max(end_, sent_at_ + usable_duration(length_));
       if (std::exchange(phase_, Phase::holding) == Phase::holding) return;
       tries_ = 0;
       why_.clear();
       holder_.clear();
       if (now_ >= end_) return lose("its time was over when a majority had granted it");
-      wake(usable(length_) / kRenews, Due::renew);
+      wake(usable_duration(length_) / kRenews, Due::renew);
       if (wanted_)
-        outlet_.held(token_);
+        delegate_.on_acquired(token_);
       else
         give_back();
       return;
-    case Say::in_line:
+    case ReplyKind::queued:
       in_line_ = true;
       [[fallthrough]];
-    case Say::held:
-    case Say::later:
-      if (r.highest < token_ && r.say == Say::later && phase_ != Phase::promising)
-        return ask_one(voter, Ask::promise);
+    case ReplyKind::held:
+    case ReplyKind::preempted:
+      if (r.highest_promised < token_ && r.kind == ReplyKind::preempted && phase_ != Phase::promising)
+        return ask_one(voter, RequestKind::prepare);
       no_ |= bit;
-      if (r.say != Say::later && !r.holder.empty())
-        holder_ = r.holder, held_for_ = std::max(held_for_, r.left);
+      if (r.kind != ReplyKind::preempted && !r.holder.empty())
+        holder_ = r.holder, held_for_ = std::max(held_for_, r.remaining);
       // Of a holder the end comes by itself.
       if (phase_ == Phase::holding || voters_ - static_cast<std::size_t>(std::popcount(no_)) > voters_ / 2)
         return;
@@ -218,7 +220,7 @@
         return wait(held_for_ + drawn(in_line_ ? length_ / kAnswers : length_ * kNotInLine),
                     "held by " + holder_);
       return wait(drawn(length_ / kAnswers * (1 << std::min(tries_, 3))), "others ask for it as well");
-    case Say::freed:
+    case ReplyKind::released:
       return;
   }
 }
--- a/src/leases/seeker.h
+++ b/src/leases/candidate.h
@@ -9,63 +9,63 @@
 #include <utility>
 #include <vector>
 
-#include "leases/words.h"
+#include "leases/messages.h"
 
 namespace flintweir::leases {
 
-class Seeker {
+class Candidate {
  public:
-  class Outlet {
+  class Delegate {
    public:
-    virtual ~Outlet() = default;
-    virtual void ask(VoterNo voter, const Request& request) = 0;  // may be lost
-    virtual void wake(Micros in, WakeId wake) = 0;
-    virtual void held(Token token) = 0;
-    virtual void lost(Token token, std::string_view why) = 0;
-    virtual void waits(
+    virtual ~Delegate() = default;
+    virtual void send_request(VoterIndex voter, const Request& request) = 0;  // may be lost
+    virtual void set_timer(Micros delay, WakeId timer) = 0;
+    virtual void on_acquired(Token token) = 0;
+    virtual void on_lost(Token token, std::string_view why) = 0;
+    virtual void on_waiting(
         std::string_view why) = 0;  // why nobody holds it here, each time that it is another reason
   };
 
   // One act of the holder's, from its making to its end; while any is open the lease is not let go.
-  class Act {
+  class Operation {
    public:
-    Act(Act&& o) noexcept : of_(std::exchange(o.of_, nullptr)), token_(o.token_) {}
-    ~Act() {
+    Operation(Operation&& o) noexcept : of_(std::exchange(o.of_, nullptr)), token_(o.token_) {}
+    ~Operation() {
       if (of_) of_->act_over();
     }
     Token token() const { return token_; }
 
    private:
-    friend class Seeker;
-    Act(Seeker& of, Token token) : of_(&of), token_(token) {}
-    Seeker* of_;
+    friend class Candidate;
+    Operation(Candidate& of, Token token) : of_(&of), token_(token) {}
+    Candidate* of_;
     Token token_;
   };
 
   // `voters`: of the set, a majority of which grants. `base`: no token of this seeker's is smaller.
-  Seeker(Outlet& outlet, std::string lease, std::size_t voters, Micros length, Token base,
-         std::uint64_t seed);
+  Candidate(Delegate& delegate, std::string lease, std::size_t voters, Micros length, Token base,
+            std::uint64_t seed);
 
   // The same, in the same state, for another outlet; without its acts.
-  Seeker(const Seeker& of, Outlet& outlet);
+  Candidate(const Candidate& of, Delegate& delegate);
 
-  void at(Micros now);
-  void want();
+  void set_time(Micros now);
+  void acquire();
   // Asks for it no more, and tells the voters as soon as no act is open.
-  void let_go();
-  void answered(VoterNo voter, const Reply& reply);
-  void woken(WakeId wake);
+  void release();
+  void on_reply(VoterIndex voter, const Reply& reply);
+  void timer_expired(WakeId timer);
   // Whoever was acted on has seen a larger token.
-  void saw(Token token) { seen_ = std::max(seen_, token); }
+  void observe_token(Token token) { seen_ = std::max(seen_, token); }
 
   // An act that takes at most so long, or none where that does not fit into what is left of the lease.
-  std::optional<Act> act(Micros most);
+  std::optional<Operation> begin_operation(Micros max_duration);
 
   bool holds() const { return phase_ == Phase::holding && now_ < end_; }
   Token token() const { return token_; }
-  Micros left() const { return holds() ? end_ - now_ : Micros{0}; }
+  Micros remaining() const { return holds() ? end_ - now_ : Micros{0}; }
   // All that its next moves hang on, but for chance; times from now on.
-  void tell(std::string& out) const;
+  void append_state(std::string& out) const;
   const std::string& lease() const { return lease_; }
   const std::string& holder() const { return holder_; }  // as last heard of, where another holds it
 
@@ -74,8 +74,8 @@
   enum class Due : std::uint64_t { again = 1, renew, end };
   void wake(Micros in, Due due);
   void begin_round();
-  void ask_all(Ask ask);
-  void ask_one(VoterNo voter, Ask ask);
+  void ask_all(RequestKind ask);
+  void ask_one(VoterIndex voter, RequestKind ask);
   void renew();
   void wait(Micros in, std::string_view why);
   void lose(std::string_view why);
@@ -84,7 +84,7 @@
   bool majority(std::uint64_t who) const;
   Micros drawn(Micros most);
 
-  Outlet& outlet_;
+  Delegate& delegate_;
   std::string lease_, holder_, why_;
   std::size_t voters_;
   Micros length_, now_{0}, sent_at_{0}, end_{0}, held_for_{0};
--- a/src/leases/datagram.h
+++ b/src/leases/datagram.h
@@ -6,53 +6,53 @@
 #include <vector>
 
 #include "address.h"
-#include "leases/words.h"
+#include "leases/messages.h"
 
 namespace flintweir::leases {
 
-inline constexpr std::size_t kLongestDatagram = 1200;
+inline constexpr std::size_t kMaxDatagramBytes = 1200;
 
 // The number of a set of voters and of the longest lease: whoever holds another set is not heard.
-std::uint64_t set_of(const std::vector<std::string>& voters, Micros length);
+std::uint64_t voter_set_id(const std::vector<std::string>& voters, Micros duration);
 
 struct Sender {
-  std::uint64_t set = 0;
+  std::uint64_t voter_set = 0;
   std::string_view name;  // of a voter, or who asks: name and start
-  Address told;           // where answers go
+  Address reply_to;       // where answers go
 };
 
 // What is shown of a lease to those who look on.
-struct Shown {
+struct LeaseStatus {
   std::string_view lease, holder;
   Token token;
-  Micros left{0};
+  Micros remaining{0};
   std::uint32_t waiting = 0;
 };
 
-class Hearer {
+class DatagramHandler {
  public:
-  virtual void request_came(const Sender&, const Request&) {}
-  virtual void reply_came(const Sender&, const Reply&) {}
-  virtual void shown_came(const Sender&, const Shown&) {}
-  virtual void page_came(const Sender&, bool /*last*/) {}  // after what is shown
+  virtual void on_request(const Sender&, const Request&) {}
+  virtual void on_reply(const Sender&, const Reply&) {}
+  virtual void on_lease_status(const Sender&, const LeaseStatus&) {}
+  virtual void on_status_page(const Sender&, bool /*last*/) {}  // after what is shown
 
  protected:
-  ~Hearer() = default;
+  ~DatagramHandler() = default;
 };
 
-bool is_lease(std::string_view bytes);  // by its mark
+bool is_lease_datagram(std::string_view bytes);  // by its mark
 // All of it is looked through before the first call; false: nothing of it was heard.
-bool decode(std::string_view bytes, Hearer& hearer);
+bool decode(std::string_view bytes, DatagramHandler& handler);
 
-class Writer {
+class DatagramWriter {
  public:
-  enum class Kind : std::uint8_t { requests = 1, replies, page };
-  Writer(Kind kind, const Sender& sender);
+  enum class Kind : std::uint8_t { requests = 1, replies, status_page };
+  DatagramWriter(Kind kind, const Sender& sender);
   bool add(const Request& r);  // false: it does not fit
   bool add(const Reply& r);
-  bool add(const Shown& s);
-  Writer& last(bool last);  // of a page, before anything is added
-  std::string_view done();
+  bool add(const LeaseStatus& s);
+  DatagramWriter& set_last(bool last);  // of a page, before anything is added
+  std::string_view finish();
 
  private:
   bool append(std::string_view packed);
--- a/src/leases/voter.h
+++ b/src/leases/voter.h
@@ -9,20 +9,20 @@
 #include <string>
 #include <vector>
 
-#include "leases/words.h"
+#include "leases/messages.h"
 
 namespace flintweir::leases {
 
 // Where promises outlast the process. What keep() has taken is there at the next start, whole, whatever
 // happens after it has returned true; what it has not taken must not be answered for.
-class Folder {
+class VoterStorage {
  public:
-  struct Kept {
+  struct Record {
     std::string lease, promised_to, holder;
     Token promised, granted;
   };
-  virtual ~Folder() = default;
-  virtual bool keep(const Kept& kept) = 0;
+  virtual ~VoterStorage() = default;
+  virtual bool save(const Record& record) = 0;
 };
 
 class Voter {
@@ -30,25 +30,25 @@
   // `longest`: a lease that may be asked for. `floor`: promises only larger tokens; the wall clock at the
   // start, so that tokens grow where all was forgotten. Without `folder` it answers nobody until the longest
   // lease that it can have granted before is over; so does one whose folder is new. With `kept` it goes on.
-  Voter(Micros longest, Token floor, Micros now, Folder* folder = nullptr,
-        const std::optional<std::vector<Folder::Kept>>& kept = std::nullopt);
+  Voter(Micros longest, Token floor, Micros now, VoterStorage* storage = nullptr,
+        const std::optional<std::vector<VoterStorage::Record>>& kept = std::nullopt);
 
-  void keep_in(Folder* folder) { folder_ = folder; }  // which holds the same as the one before
+  void set_storage(VoterStorage* storage) { storage_ = storage; }  // which holds the same as the one before
 
   // Nothing: it says nothing. The reply's texts are good until the next call.
-  std::optional<Reply> asked(Micros now, const Request& request, std::string_view who);
+  std::optional<Reply> handle(Micros now, const Request& request, std::string_view who);
   // Who stands in line for it, and hears that it is free: at most three. They are taken out of the line.
-  std::vector<std::string> freed(std::string_view lease);
+  std::vector<std::string> take_waiters(std::string_view lease);
 
-  struct Standing {
+  struct LeaseState {
     std::string lease, holder;
     Token token;
-    Micros left;
-    std::vector<std::string> line;
+    Micros remaining;
+    std::vector<std::string> waiters;
   };
-  std::vector<Standing> all(Micros now) const;
+  std::vector<LeaseState> list(Micros now) const;
   // All that its next answers hang on, but for the line; times from now on.
-  void tell(Micros now, std::string& out) const;
+  void append_state(Micros now, std::string& out) const;
   bool silent(Micros now) const { return now < silent_until_; }
 
  private:
@@ -65,7 +65,7 @@
   static constexpr std::size_t kMostLeases = 4096, kLine = 3;
   Micros longest_, silent_until_;
   Token floor_;
-  Folder* folder_;
+  VoterStorage* storage_;
   std::map<std::string, Entry, std::less<>> entries_;
 };
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -139,7 +139,7 @@
   if ((what == "hold" && words.size() < 4) || (what == "show" && words.size() != 3) ||
       (what == "list" && words.size() != 2))
     return wrong_use("lease " + what + ": wrong number of words");
-  if (name.size() > flintweir::leases::kLongestLease || !flintweir::is_plain(name))
+  if (name.size() > flintweir::leases::kMaxLeaseNameBytes || !flintweir::is_plain(name))
     return wrong_use("lease: a name has at most 64 printable characters without blanks and quotes");
   for (const std::string& a : {from, told})
     if (!a.empty() && !flintweir::address_of(a)) return wrong_use("'" + a + "' is no address with a port");
--- a/src/members/datagram.cpp
+++ b/src/members/datagram.cpp
@@ -11,35 +11,35 @@
 using namespace packing;
 
 constexpr char kMark[2] = {'f', 'w'};
-constexpr std::size_t kMostWords = 64;
+constexpr std::size_t kMaxUpdates = 64;
 
 struct Said {
-  Word word;
+  MemberUpdate update;
   std::optional<Micros> age;
 };
 
-Said word_of(const msgpack::object& o) {
+Said update_of(const msgpack::object& o) {
   Fields f(o);
   Said out;
-  Word& w = out.word;
-  w.name = f.text(kLongestName);
-  w.start = Start{f.number()};
-  const std::uint64_t word = f.number(), standing = f.number();
-  if (w.name.empty() || word > UINT32_MAX || standing > static_cast<std::uint64_t>(Standing::left))
+  MemberUpdate& w = out.update;
+  w.name = f.text(kMaxNameBytes);
+  w.generation = Generation{f.number()};
+  const std::uint64_t incarnation = f.number(), state = f.number();
+  if (w.name.empty() || incarnation > UINT32_MAX || state > static_cast<std::uint64_t>(MemberState::left))
     throw Malformed();
-  w.word = static_cast<std::uint32_t>(word);
-  w.standing = static_cast<Standing>(standing);
+  w.incarnation = static_cast<std::uint32_t>(incarnation);
+  w.state = static_cast<MemberState>(state);
   w.address = f.place();
-  w.zone = f.text(kLongestZone);
-  w.version = f.text(kLongestVersion);
-  w.note = f.bytes(kLongestNote);
-  w.by = f.text(kLongestName);
+  w.zone = f.text(kMaxZoneBytes);
+  w.version = f.text(kMaxVersionBytes);
+  w.metadata = f.bytes(kMaxMetadataBytes);
+  w.reported_by = f.text(kMaxNameBytes);
   if (f.more()) out.age = Micros{static_cast<std::int64_t>(f.number() & INT64_MAX)};
   return out;
 }
 
-void hear(Kind kind, std::string_view bytes, std::string_view fleet, Hearer& hearer) {
-  const msgpack::unpack_limit limit(kBuckets + 8, 0, 256, 256, 0, 3);
+void hear(MessageKind kind, std::string_view bytes, std::string_view fleet, DatagramHandler& handler) {
+  const msgpack::unpack_limit limit(kDigestBuckets + 8, 0, 256, 256, 0, 3);
   std::size_t at = 0;
   std::vector<msgpack::object_handle> kept;
   const auto next = [&]() -> const msgpack::object& {
@@ -47,103 +47,104 @@
   };
   Fields head(next());
   // Whoever asks for a view need not know the fleet's name.
-  if (head.text(kLongestName) != fleet && kind != Kind::query && !fleet.empty()) throw Wrong::fleet;
-  From from;
-  from.name = head.text(kLongestName);
-  from.start = Start{head.number()};
+  if (head.text(kMaxNameBytes) != fleet && kind != MessageKind::view_query && !fleet.empty())
+    throw DecodeError::fleet;
+  Sender from;
+  from.name = head.text(kMaxNameBytes);
+  from.generation = Generation{head.number()};
   from.address = head.place();
   from.digest = head.number();
   from.weight = static_cast<std::uint32_t>(std::min<std::uint64_t>(head.number(), UINT32_MAX));
   const Nonce nonce{head.number()};
-  from.exchanges = kind == Kind::views;
-  if (from.name.empty() != (kind == Kind::query)) throw Malformed();
+  from.from_sync = kind == MessageKind::sync_updates;
+  if (from.name.empty() != (kind == MessageKind::view_query)) throw Malformed();
   std::string_view whom;
   Address place;
   std::uint64_t number = 0;
-  std::array<std::uint64_t, kBuckets> digests{};
-  if (kind == Kind::ask) {
-    whom = head.text(kLongestName);
+  std::array<std::uint64_t, kDigestBuckets> digests{};
+  if (kind == MessageKind::ping_request) {
+    whom = head.text(kMaxNameBytes);
     place = head.place();
-  } else if (kind == Kind::sync) {
+  } else if (kind == MessageKind::sync_digest) {
     number = head.number();
     for (std::uint64_t& d : digests) d = head.number();
-  } else if (kind == Kind::claim || kind == Kind::page) {
+  } else if (kind == MessageKind::name_claim || kind == MessageKind::view_page) {
     number = head.number();
-  } else if (kind == Kind::query) {
-    whom = head.text(kLongestName);
+  } else if (kind == MessageKind::view_query) {
+    whom = head.text(kMaxNameBytes);
   }
   std::vector<Said> words;
   while (at < bytes.size()) {
-    if (words.size() == kMostWords) throw Malformed();
-    words.push_back(word_of(next()));
+    if (words.size() == kMaxUpdates) throw Malformed();
+    words.push_back(update_of(next()));
   }
   for (const Said& s : words) {
-    hearer.word_came(from, s.word);
-    if (s.age) hearer.age_came(*s.age);
+    handler.on_update(from, s.update);
+    if (s.age) handler.on_update_age(*s.age);
   }
   switch (kind) {
-    case Kind::ping:
-      return hearer.ping_came(from, nonce);
-    case Kind::ack:
-      return hearer.ack_came(from, nonce);
-    case Kind::nack:
-      return hearer.nack_came(from, nonce);
-    case Kind::ask:
-      return hearer.ask_came(from, nonce, whom, place);
-    case Kind::gossip:
-    case Kind::views:
+    case MessageKind::ping:
+      return handler.on_ping(from, nonce);
+    case MessageKind::ack:
+      return handler.on_ack(from, nonce);
+    case MessageKind::nack:
+      return handler.on_nack(from, nonce);
+    case MessageKind::ping_request:
+      return handler.on_ping_request(from, nonce, whom, place);
+    case MessageKind::gossip:
+    case MessageKind::sync_updates:
       return;
-    case Kind::sync:
-      return hearer.sync_came(from, number != 0, digests);
-    case Kind::claim:
-      return hearer.claim_came(from, Micros{static_cast<std::int64_t>(number & INT64_MAX)});
-    case Kind::query:
-      return hearer.query_came(nonce, whom);
-    case Kind::page:
-      return hearer.page_came(from, nonce, number != 0);
+    case MessageKind::sync_digest:
+      return handler.on_sync_digest(from, number != 0, digests);
+    case MessageKind::name_claim:
+      return handler.on_name_claim(from, Micros{static_cast<std::int64_t>(number & INT64_MAX)});
+    case MessageKind::view_query:
+      return handler.on_view_query(nonce, whom);
+    case MessageKind::view_page:
+      return handler.on_view_page(from, nonce, number != 0);
   }
 }
 
 }  // namespace
 
-const char* name_of(Wrong wrong) {
+const char* name_of(DecodeError wrong) {
   constexpr const char* kNames[] = {"none", "size", "mark", "version", "checksum", "fleet", "malformed"};
   return kNames[static_cast<std::size_t>(wrong)];
 }
 
-Wrong decode(std::string_view bytes, std::string_view fleet, Hearer& hearer) {
-  if (bytes.size() < kHead || bytes.size() > kLongestDatagram) return Wrong::size;
-  if (bytes[0] != kMark[0] || bytes[1] != kMark[1]) return Wrong::mark;
-  if (static_cast<std::uint8_t>(bytes[2]) != kVersion) return Wrong::version;
-  if (!sealed(bytes)) return Wrong::checksum;
+DecodeError decode(std::string_view bytes, std::string_view fleet, DatagramHandler& handler) {
+  if (bytes.size() < kHead || bytes.size() > kMaxDatagramBytes) return DecodeError::size;
+  if (bytes[0] != kMark[0] || bytes[1] != kMark[1]) return DecodeError::mark;
+  if (static_cast<std::uint8_t>(bytes[2]) != kProtocolVersion) return DecodeError::version;
+  if (!sealed(bytes)) return DecodeError::checksum;
   const auto kind = static_cast<std::uint8_t>(bytes[3]);
-  if (kind < 1 || kind > static_cast<std::uint8_t>(Kind::views)) return Wrong::malformed;
-  if (bytes[8] != 0 || bytes[9] != 0) return Wrong::malformed;  // sealed: this version knows no seals
+  if (kind < 1 || kind > static_cast<std::uint8_t>(MessageKind::sync_updates)) return DecodeError::malformed;
+  if (bytes[8] != 0 || bytes[9] != 0) return DecodeError::malformed;  // sealed: this version knows no seals
   try {
-    hear(static_cast<Kind>(kind), bytes.substr(kHead), fleet, hearer);
+    hear(static_cast<MessageKind>(kind), bytes.substr(kHead), fleet, handler);
   } catch (const Malformed&) {
-    return Wrong::malformed;
+    return DecodeError::malformed;
   } catch (const msgpack::unpack_error&) {
-    return Wrong::malformed;
-  } catch (const Wrong& wrong) {
+    return DecodeError::malformed;
+  } catch (const DecodeError& wrong) {
     return wrong;
   }
-  return Wrong::none;
+  return DecodeError::none;
 }
 
-Writer::Writer(Kind kind, std::string_view fleet, const From& from, Nonce nonce) {
+DatagramWriter::DatagramWriter(MessageKind kind, std::string_view fleet, const Sender& from, Nonce nonce) {
   bytes_.assign(kHead, '\0');
   bytes_[0] = kMark[0];
   bytes_[1] = kMark[1];
-  bytes_[2] = static_cast<char>(kVersion);
+  bytes_[2] = static_cast<char>(kProtocolVersion);
   bytes_[3] = static_cast<char>(kind);
-  constexpr std::uint32_t kOwnFields[] = {0, 7, 7, 7, 9, 7, 8 + kBuckets, 8, 8, 8, 7};
-  msgpack::sbuffer out(kLongestDatagram);
+  constexpr std::uint32_t kOwnFields[] = {0, 7, 7, 7, 9, 7, 8 + kDigestBuckets, 8, 8, 8, 7};
+  msgpack::sbuffer out(kMaxDatagramBytes);
   Packer p(out);
   p.pack_array(kOwnFields[static_cast<std::size_t>(kind)]);
   text(p, fleet);
   text(p, from.name);
-  p.pack(from.start.value);
+  p.pack(from.generation.value);
   place(p, from.address);
   p.pack(from.digest);
   p.pack(from.weight);
@@ -151,13 +152,13 @@
   append({out.data(), out.size()});
 }
 
-bool Writer::append(std::string_view packed) {
-  if (bytes_.size() + packed.size() > kLongestDatagram) return false;
+bool DatagramWriter::append(std::string_view packed) {
+  if (bytes_.size() + packed.size() > kMaxDatagramBytes) return false;
   bytes_ += packed;
   return true;
 }
 
-Writer& Writer::ask(std::string_view whom, const Address& at) {
+DatagramWriter& DatagramWriter::ping_request(std::string_view whom, const Address& at) {
   msgpack::sbuffer out;
   Packer p(out);
   text(p, whom);
@@ -166,7 +167,8 @@
   return *this;
 }
 
-Writer& Writer::sync(bool answered, std::span<const std::uint64_t, kBuckets> digests) {
+DatagramWriter& DatagramWriter::sync_digest(bool answered,
+                                            std::span<const std::uint64_t, kDigestBuckets> digests) {
   msgpack::sbuffer out;
   Packer p(out);
   p.pack(static_cast<std::uint8_t>(answered));
@@ -175,14 +177,14 @@
   return *this;
 }
 
-Writer& Writer::claim(Micros running) {
+DatagramWriter& DatagramWriter::name_claim(Micros running) {
   msgpack::sbuffer out;
   Packer(out).pack(static_cast<std::uint64_t>(running.count()));
   append({out.data(), out.size()});
   return *this;
 }
 
-Writer& Writer::query(std::string_view after) {
+DatagramWriter& DatagramWriter::view_query(std::string_view after) {
   msgpack::sbuffer out;
   Packer p(out);
   text(p, after);
@@ -190,7 +192,7 @@
   return *this;
 }
 
-Writer& Writer::page(bool last) {
+DatagramWriter& DatagramWriter::view_page(bool last) {
   msgpack::sbuffer out;
   Packer(out).pack(static_cast<std::uint8_t>(last));
   append({out.data(), out.size()});
@@ -199,39 +201,39 @@
 
 namespace {
 
-void pack_word(msgpack::sbuffer& out, const Word& w, std::optional<Micros> age) {
+void pack_update(msgpack::sbuffer& out, const MemberUpdate& w, std::optional<Micros> age) {
   Packer p(out);
   p.pack_array(age ? 10 : 9);
   text(p, w.name);
-  p.pack(w.start.value);
-  p.pack(w.word);
-  p.pack(static_cast<std::uint8_t>(w.standing));
+  p.pack(w.generation.value);
+  p.pack(w.incarnation);
+  p.pack(static_cast<std::uint8_t>(w.state));
   place(p, w.address);
   text(p, w.zone);
   text(p, w.version);
-  p.pack_bin(static_cast<std::uint32_t>(w.note.size()));
-  p.pack_bin_body(w.note.data(), static_cast<std::uint32_t>(w.note.size()));
-  text(p, w.by);
+  p.pack_bin(static_cast<std::uint32_t>(w.metadata.size()));
+  p.pack_bin_body(w.metadata.data(), static_cast<std::uint32_t>(w.metadata.size()));
+  text(p, w.reported_by);
   if (age) p.pack(static_cast<std::uint64_t>(std::max<std::int64_t>(age->count(), 0)));
 }
 
 }  // namespace
 
-bool Writer::add(const Word& word) {
+bool DatagramWriter::add(const MemberUpdate& update) {
   msgpack::sbuffer out;
-  pack_word(out, word, std::nullopt);
+  pack_update(out, update, std::nullopt);
   return append({out.data(), out.size()});
 }
 
-bool Writer::add(const Word& word, Micros age) {
+bool DatagramWriter::add(const MemberUpdate& update, Micros age) {
   msgpack::sbuffer out;
-  pack_word(out, word, age);
+  pack_update(out, update, age);
   return append({out.data(), out.size()});
 }
 
-void seal(std::string& bytes) { packing::seal(bytes); }
+void write_checksum(std::string& bytes) { packing::seal(bytes); }
 
-std::string_view Writer::done() {
+std::string_view DatagramWriter::finish() {
   packing::seal(bytes_);
   return bytes_;
 }
--- a/src/members/view.cpp
+++ b/src/members/view.cpp
@@ -62,12 +62,12 @@
 
 }  // namespace
 
-class View::Impl final : Hearer {
+class View::Impl final : DatagramHandler {
  public:
-  Impl(Outlet& outlet, std::string fleet, std::string name, Start start, const Address& told,
-       std::string zone, std::string version, std::vector<Address> seeds, Micros interval, Micros forget,
-       std::size_t most, std::uint64_t seed)
-      : outlet_(outlet),
+  Impl(ViewDelegate& delegate, std::string fleet, std::string name, Generation generation,
+       const Address& told, std::string zone, std::string version, std::vector<Address> seeds,
+       Micros interval, Micros forget, std::size_t most, std::uint64_t seed)
+      : delegate_(delegate),
         fleet_(std::move(fleet)),
         name_(std::move(name)),
         interval_(interval),
@@ -75,18 +75,18 @@
         most_(most),
         chance_(static_cast<std::knuth_b::result_type>(seed | 1)) {
     Member& me = members_.try_emplace(name_).first->second.facts;
-    me.start = start;
-    me.standing = Standing::joining;
+    me.generation = generation;
+    me.state = MemberState::joining;
     me.address = told;
     me.zone = std::move(zone);
     me.version = std::move(version);
-    me.by = name_;
-    this->seeds(std::move(seeds));
+    me.reported_by = name_;
+    this->set_seeds(std::move(seeds));
     // A restart's questions are not those of the process before it.
-    nonces_ = mix(seed ^ start.value) >> 9;
+    nonces_ = mix(seed ^ generation.value) >> 9;
   }
 
-  void draw(std::size_t near, std::size_t far, std::vector<Address>& to) {
+  void pick_members(std::size_t near, std::size_t far, std::vector<Address>& to) {
     const std::string& zone = members_.at(name_).facts.zone;
     std::vector<Address> of_near, of_far;
     // Where zones are few, a few tries find a member of each kind.
@@ -106,14 +106,14 @@
     to.insert(to.end(), of_far.begin(), of_far.end());
   }
 
-  void at(Micros now) {
+  void set_time(Micros now) {
     now_ = std::max(now, now_);
     // Guards against a process that was stopped and accuses others of its own silence: all that was out is
     // forgotten, and every doubt begins anew.
     if (due_ != Micros::max() && now_ > due_ + interval_ / 2) paused(now_ - due_);
   }
 
-  void begin() {
+  void start() {
     began_ = now_;
     me().since = now_;
     refill_at_ = now_;
@@ -125,19 +125,19 @@
   }
 
   void received(const Address& from, std::string_view bytes) {
-    ++counts_.received;
+    ++counters_.received;
     came_from_ = from;
     doubted_ = false;
     tick();
-    if (const Wrong wrong = decode(bytes, fleet_, *this); wrong != Wrong::none) {
-      ++counts_.wrong[static_cast<std::size_t>(wrong)];
+    if (const DecodeError wrong = decode(bytes, fleet_, *this); wrong != DecodeError::none) {
+      ++counters_.decode_errors[static_cast<std::size_t>(wrong)];
       complain(wrong);
     }
   }
 
-  void woken(WakeId wake) {
-    const auto due = static_cast<Due>(wake.value >> 56);
-    const std::uint64_t turn = wake.value & ((1ull << 56) - 1);
+  void timer_expired(WakeId timer) {
+    const auto due = static_cast<Due>(timer.value >> 56);
+    const std::uint64_t turn = timer.value & ((1ull << 56) - 1);
     tick();
     switch (due) {
       case Due::probe:
@@ -158,7 +158,7 @@
         if (turn == seed_turn_) ask_seeds();
         return;
       case Due::alone:
-        if (me().standing == Standing::joining && !claiming_ && !rival_) join("no seed answers");
+        if (me().state == MemberState::joining && !claiming_ && !rival_) join("no seed answers");
         return;
       case Due::claimed:
         if (turn == claim_turn_) claim_over();
@@ -170,45 +170,45 @@
 
   void leave() {
     Entry& mine = members_.find(name_)->second;
-    if (mine.facts.standing == Standing::joining) {
+    if (mine.facts.state == MemberState::joining) {
       silent_ = true;
       return;
     }
     change(name_, [](Member& m) {
-      ++m.word;
-      m.standing = Standing::leaving;
+      ++m.incarnation;
+      m.state = MemberState::leaving;
     });
     // Also to those whom gossip would reach only after this process has gone.
-    for (const Address& to : some(kGossipTo * 2, {})) send_gossip(Kind::gossip, to, next_nonce());
+    for (const Address& to : some(kGossipTo * 2, {})) send_gossip(MessageKind::gossip, to, next_nonce());
   }
 
-  void seeds(std::vector<Address> seeds) {
+  void set_seeds(std::vector<Address> seeds) {
     seeds_ = std::move(seeds);
     std::erase(seeds_, me().address);
     seed_pause_ = Micros{0};  // the next round is the first of these
   }
 
-  void note(std::string_view note) {
-    if (me().note == note) return;
+  void set_metadata(std::string_view metadata) {
+    if (me().metadata == metadata) return;
     const auto take = [&](Member& m) {
-      m.note = std::string(note.substr(0, kLongestNote));
-      ++m.word;
+      m.metadata = std::string(metadata.substr(0, kMaxMetadataBytes));
+      ++m.incarnation;
     };
     began_ == kNever ? take(me()) : change(name_, take);
   }
 
   std::uint64_t digest() const { return XXH3_64bits(buckets_.data(), sizeof buckets_); }
 
-  unsigned acting() const {
-    if (me().standing == Standing::joining) return 0;
+  unsigned active_count() const {
+    if (me().state == MemberState::joining) return 0;
     unsigned out = 0;
-    for (const auto& [name, e] : members_) out += e.facts.standing != Standing::left;
+    for (const auto& [name, e] : members_) out += e.facts.state != MemberState::left;
     return out;
   }
 
-  bool joined() const { return me().standing != Standing::joining; }
+  bool joined() const { return me().state != MemberState::joining; }
 
-  const Counts& counts() const { return counts_; }
+  const ViewCounters& counters() const { return counters_; }
 
  private:
   struct Entry {
@@ -237,7 +237,7 @@
 
   void wake(Micros in, Due due, std::uint64_t turn = 0) {
     if (due == Due::probe) due_ = now_ + in;
-    outlet_.wake(in, wake_id(due, turn));
+    delegate_.set_timer(in, wake_id(due, turn));
   }
 
   void tick() {
@@ -254,7 +254,7 @@
     helped_.clear();
     health_ = std::min(health_ + 1, kMostHealth);
     for (auto& [name, e] : members_)
-      if (e.facts.standing == Standing::suspected) e.doubt_from += by;
+      if (e.facts.state == MemberState::suspected) e.doubt_from += by;
   }
 
   Micros jittered(Micros mean, double by) {
@@ -269,54 +269,55 @@
 
   // Sending.
 
-  From from() const { return {name_, me().start, me().address, digest(), weight(), false}; }
+  Sender from() const { return {name_, me().generation, me().address, digest(), weight(), false}; }
 
   // For whoever looks on, out of a part of its own: neither takes from the other.
-  void show(Writer& writer) {
-    const std::string_view bytes = writer.done();
+  void show(DatagramWriter& writer) {
+    const std::string_view bytes = writer.finish();
     if (shown_left_ < 0) return;
     shown_left_ -= static_cast<double>(bytes.size());
-    outlet_.send(came_from_, bytes);
+    delegate_.send(came_from_, bytes);
   }
 
   // Members that wait for an answer go first. News, views and answers to newcomers leave a quarter for them:
   // a fleet that starts at once would else use up what its seeds may send.
   enum class Rank { owed, spare };
 
-  void send(const Address& to, Writer& writer, Rank rank) {
-    const std::string_view bytes = writer.done();
+  void send(const Address& to, DatagramWriter& writer, Rank rank) {
+    const std::string_view bytes = writer.finish();
     if (bytes_left_ < (rank == Rank::owed ? 0 : kBytesKept / 4)) {
-      ++counts_.unsent;
+      ++counters_.throttled;
       return;
     }
     bytes_left_ -= static_cast<double>(bytes.size());
-    ++counts_.sent;
-    counts_.sent_bytes += bytes.size();
-    outlet_.send(to, bytes);
+    ++counters_.sent;
+    counters_.sent_bytes += bytes.size();
+    delegate_.send(to, bytes);
   }
 
-  static Word word_of(std::string_view name, const Member& m) {
-    return {name, m.start, m.word, m.standing, m.address, m.zone, m.version, m.note, m.by};
+  static MemberUpdate update_of(std::string_view name, const Member& m) {
+    return {name,   m.generation, m.incarnation, m.state,      m.address,
+            m.zone, m.version,    m.metadata,    m.reported_by};
   }
 
   // A datagram that carries, beside `first`, as much gossip as fits.
-  void send_gossip(Kind kind, const Address& to, Nonce nonce, std::string_view first = {}) {
-    Writer writer(kind, fleet_, from(), nonce);
+  void send_gossip(MessageKind kind, const Address& to, Nonce nonce, std::string_view first = {}) {
+    DatagramWriter writer(kind, fleet_, from(), nonce);
     if (const auto it = members_.find(first); it != members_.end())
-      writer.add(word_of(first, it->second.facts));
+      writer.add(update_of(first, it->second.facts));
     // Where much has to be said, questions and answers go out bare rather than not at all.
-    if (kind != Kind::gossip && bytes_left_ < kBytesKept / 2) return send(to, writer, Rank::owed);
+    if (kind != MessageKind::gossip && bytes_left_ < kBytesKept / 2) return send(to, writer, Rank::owed);
     // Those least spread first.
     const auto fits = news_.begin() + static_cast<std::ptrdiff_t>(std::min(news_.size(), kWordsAtMost));
     std::partial_sort(news_.begin(), fits, news_.end(),
                       [](const News* a, const News* b) { return a->second.sends > b->second.sends; });
     for (auto it = news_.begin(); it != fits; ++it) {
       if ((*it)->first == first) continue;
-      if (!writer.add(word_of((*it)->first, (*it)->second.facts))) break;
+      if (!writer.add(update_of((*it)->first, (*it)->second.facts))) break;
       --(*it)->second.sends;
     }
     std::erase_if(news_, [](const News* n) { return n->second.sends <= 0; });
-    send(to, writer, kind == Kind::gossip ? Rank::spare : Rank::owed);
+    send(to, writer, kind == MessageKind::gossip ? Rank::spare : Rank::owed);
   }
 
   // Spreads what is known of a member; less of it where others learn it by exchange as well, as they do where
@@ -341,7 +342,7 @@
     if (news_.empty() || silent()) return;
     for (const Address& to : some(kGossipTo, {})) {
       if (news_.empty()) break;
-      send_gossip(Kind::gossip, to, next_nonce());
+      send_gossip(MessageKind::gossip, to, next_nonce());
     }
     gossip_due_ = true;
     wake(jittered(interval_ / kGossipParts, 0.2), Due::gossip);
@@ -361,24 +362,24 @@
   }
 
   bool reachable(std::string_view name, const Entry& e) const {
-    return name != name_ && !final_for_start(e.facts.standing);
+    return name != name_ && !is_terminal(e.facts.state);
   }
 
   // The digest: of all that is not gone for good, so that what is forgotten at different times makes no two
   // views differ.
 
   static std::size_t bucket(std::string_view name) {
-    return XXH3_64bits(name.data(), name.size()) % kBuckets;
+    return XXH3_64bits(name.data(), name.size()) % kDigestBuckets;
   }
   static std::uint64_t digest_of(std::string_view name, const Member& m) {
-    const std::uint64_t own[] = {m.start.value, m.word, static_cast<std::uint64_t>(m.standing),
+    const std::uint64_t own[] = {m.generation.value, m.incarnation, static_cast<std::uint64_t>(m.state),
                                  m.address.port};
     std::uint64_t h = XXH3_64bits_withSeed(own, sizeof own, XXH3_64bits(name.data(), name.size()));
     h = XXH3_64bits_withSeed(m.address.bytes.data(), m.address.bytes.size(), h);
-    return XXH3_64bits_withSeed(m.note.data(), m.note.size(), h);
+    return XXH3_64bits_withSeed(m.metadata.data(), m.metadata.size(), h);
   }
   static bool counts_in_digest(const Member& m) {
-    return !final_for_start(m.standing) && m.standing != Standing::joining;
+    return !is_terminal(m.state) && m.state != MemberState::joining;
   }
   enum class Way { in, out };
   void digest(std::string_view name, const Member& m, Way way) {
@@ -386,7 +387,7 @@
     buckets_[bucket(name)] ^= digest_of(name, m);  // the same both ways
     const std::size_t one = way == Way::in ? 1 : std::size_t(-1);
     live_ += one;
-    if (m.standing != Standing::suspected) well_ += one;
+    if (m.state != MemberState::suspected) well_ += one;
   }
 
   // Changes one member's facts; all that hangs on them follows.
@@ -394,48 +395,48 @@
   void change(std::string_view name, Change change) {
     const auto it = members_.find(name);
     Entry& e = it->second;
-    const Standing was = e.facts.standing;
-    const Start start = e.facts.start;
+    const MemberState was = e.facts.state;
+    const Generation generation = e.facts.generation;
     e.pardoned_until = kNever;
     digest(name, e.facts, Way::out);
     change(e.facts);
     digest(name, e.facts, Way::in);
-    if (e.facts.standing != Standing::suspected) {
+    if (e.facts.state != MemberState::suspected) {
       e.accusers.clear();
       e.doubt_from = kNever;
       e.verdict_said = false;
     }
     tell(it->first);
-    if (e.facts.standing == was && e.facts.start == start) return;
+    if (e.facts.state == was && e.facts.generation == generation) return;
     e.facts.since = now_;
-    outlet_.changed(it->first, e.facts, false);
+    delegate_.on_member_changed(it->first, e.facts, false);
   }
 
-  void take_facts(Member& m, const Word& w, std::string_view by) {
-    m.start = w.start;
-    m.word = w.word;
-    m.standing = w.standing;
+  void take_facts(Member& m, const MemberUpdate& w, std::string_view by) {
+    m.generation = w.generation;
+    m.incarnation = w.incarnation;
+    m.state = w.state;
     m.address = w.address;
     m.zone = w.zone;
     m.version = w.version;
-    m.note = w.note;
-    m.by = by;
+    m.metadata = w.metadata;
+    m.reported_by = by;
   }
 
-  void start_anew(Start over) {
+  void start_anew(Generation over) {
     change(name_, [&](Member& m) {
-      m.start = Start{std::max(m.start.value, over.value) + 1};
-      m.word = 0;
+      m.generation = Generation{std::max(m.generation.value, over.value) + 1};
+      m.incarnation = 0;
     });
   }
 
   void join(const char* how) {
-    if (me().standing != Standing::joining) return;
+    if (me().state != MemberState::joining) return;
     joined_at_ = now_;
-    change(name_, [](Member& m) { m.standing = Standing::alive; });
+    change(name_, [](Member& m) { m.state = MemberState::alive; });
     char line[96];
     std::snprintf(line, sizeof line, "joined why=\"%s\"", how);
-    outlet_.said(line);
+    delegate_.log(line);
   }
 
   // Joining, and finding those who were lost.
@@ -446,7 +447,7 @@
     const auto ask = [&](const Address& seed) {
       if (joined() && known_at(seed)) return;
       missing = true;
-      if (!silent()) send_gossip(Kind::ping, seed, next_nonce(), name_);
+      if (!silent()) send_gossip(MessageKind::ping, seed, next_nonce(), name_);
     };
     for (const Address& seed : seeds_) ask(seed);
     if (met_) ask(*met_);
@@ -459,7 +460,7 @@
 
   bool known_at(const Address& at) const {
     for (const auto& [name, e] : members_)
-      if (e.facts.address == at && !final_for_start(e.facts.standing)) return true;
+      if (e.facts.address == at && !is_terminal(e.facts.state)) return true;
     return false;
   }
 
@@ -469,7 +470,7 @@
     if (silent() || !joined()) return;
     std::vector<std::string_view> dead;
     for (const auto& [name, e] : members_)
-      if (e.facts.standing == Standing::failed) dead.push_back(name);
+      if (e.facts.state == MemberState::failed) dead.push_back(name);
     if (dead.empty()) return;
     const std::string_view one = dead[below(dead.size())];
     tell_accused(one, true);
@@ -482,14 +483,15 @@
     e.told_at = now_;
     e.asked_as = next_nonce();
     if (!silent())
-      send_gossip(Kind::ping, e.facts.address, e.asked_as, pardoned(e) ? std::string_view(name_) : name);
+      send_gossip(MessageKind::ping, e.facts.address, e.asked_as,
+                  pardoned(e) ? std::string_view(name_) : name);
   }
 
   void forget_old() {
     for (auto it = members_.begin(); it != members_.end();) {
       const Member& m = it->second.facts;
-      const Micros kept = m.standing == Standing::left ? interval_ * kLeftKept : forget_;
-      const bool old = final_for_start(m.standing) && now_ - m.since > kept;
+      const Micros kept = m.state == MemberState::left ? interval_ * kLeftKept : forget_;
+      const bool old = is_terminal(m.state) && now_ - m.since > kept;
       if (!old) {
         ++it;
         continue;
@@ -504,10 +506,10 @@
     if (members_.size() < most_) return true;
     auto oldest = members_.end();
     for (auto it = members_.begin(); it != members_.end(); ++it) {
-      if (!final_for_start(it->second.facts.standing)) continue;
+      if (!is_terminal(it->second.facts.state)) continue;
       if (oldest == members_.end() || it->second.facts.since < oldest->second.facts.since) oldest = it;
     }
-    if (oldest == members_.end()) return ++counts_.turned_away, false;
+    if (oldest == members_.end()) return ++counters_.rejected_members, false;
     unspread(*oldest);
     members_.erase(oldest);
     return true;
@@ -523,14 +525,14 @@
     wake(std::max(jittered(least * 3, 0.1), over * 11 / 10), Due::probe);
     if (!next) return;
     const Entry& e = members_.find(*next)->second;
-    Probed probed{next_nonce(), *next, e.facts.start, now_};
+    Probed probed{next_nonce(), *next, e.facts.generation, now_};
     ++probe_turn_;
     answered_ = false;
     nacks_.clear();
     probed_.push_back(probed);
     while (!probed_.empty() && now_ - probed_.front().at > interval_ * 32) probed_.pop_front();
-    send_gossip(Kind::ping, e.facts.address, probed.nonce,
-                e.facts.standing == Standing::suspected ? probed.name : std::string_view());
+    send_gossip(MessageKind::ping, e.facts.address, probed.nonce,
+                e.facts.state == MemberState::suspected ? probed.name : std::string_view());
     wake(direct, Due::direct, probe_turn_);
     wake(over, Due::round_over, probe_turn_);
   }
@@ -568,10 +570,10 @@
     const Probed& p = probed_.back();
     const auto it = members_.find(p.name);
     if (it == members_.end()) return;
-    send_gossip(Kind::ping, it->second.facts.address, p.nonce, p.name);
+    send_gossip(MessageKind::ping, it->second.facts.address, p.nonce, p.name);
     for (const Address& helper : some(kHelpers, p.name)) {
-      Writer writer(Kind::ask, fleet_, from(), p.nonce);
-      writer.ask(p.name, it->second.facts.address);
+      DatagramWriter writer(MessageKind::ping_request, fleet_, from(), p.nonce);
+      writer.ping_request(p.name, it->second.facts.address);
       send(helper, writer, Rank::owed);
     }
   }
@@ -581,16 +583,16 @@
     if (answered_ || probed_.empty()) return;
     const Probed p = probed_.back();
     const auto it = members_.find(p.name);
-    if (it == members_.end() || it->second.facts.start != p.start) return;
+    if (it == members_.end() || it->second.facts.generation != p.generation) return;
     const Member& m = it->second.facts;
-    if (m.standing == Standing::leaving)
-      return change(p.name, [this](Member& now) { now.standing = Standing::left, now.by = name_; });
-    suspect(p.name, m.word, name_);
+    if (m.state == MemberState::leaving)
+      return change(p.name, [this](Member& now) { now.state = MemberState::left, now.reported_by = name_; });
+    suspect(p.name, m.incarnation, name_);
     // Helpers that could not reach it either share the suspicion.
-    for (const std::string& helper : nacks_) suspect(p.name, m.word, helper);
+    for (const std::string& helper : nacks_) suspect(p.name, m.incarnation, helper);
   }
 
-  void ping_came(const From& from, Nonce nonce) override {
+  void on_ping(const Sender& from, Nonce nonce) override {
     if (silent()) {
       if (rival_) send_claim(from.address, nonce);
       return;
@@ -600,12 +602,12 @@
     // Whoever is called failed or suspected here, or is known by another start, hears of it with the answer.
     const bool better =
         it != members_.end() && !pardoned(it->second) &&
-        (final_for_start(it->second.facts.standing) || it->second.facts.standing == Standing::suspected ||
-         it->second.facts.start != from.start);
+        (is_terminal(it->second.facts.state) || it->second.facts.state == MemberState::suspected ||
+         it->second.facts.generation != from.generation);
     if (joined() && !better && !doubted_ && is_new(from.name))
       welcome(from.address, nonce);
     else
-      send_gossip(Kind::ack, from.address, nonce, better ? from.name : std::string_view(name_));
+      send_gossip(MessageKind::ack, from.address, nonce, better ? from.name : std::string_view(name_));
     if (!joined() && !claiming_) join("another joins too");
   }
 
@@ -617,33 +619,33 @@
   // A newcomer is introduced to some others, so that a fleet that starts at once does not ask its seeds for
   // all.
   void welcome(const Address& to, Nonce nonce) {
-    Writer writer(Kind::ack, fleet_, from(), nonce);
-    writer.add(word_of(name_, me()));
+    DatagramWriter writer(MessageKind::ack, fleet_, from(), nonce);
+    writer.add(update_of(name_, me()));
     for (std::size_t i = 0; i < kIntroduced && !order_.empty(); ++i) {
       const auto it = members_.find(order_[below(order_.size())]);
-      if (it != members_.end() && it->second.facts.standing == Standing::alive)
-        writer.add(word_of(it->first, it->second.facts));
+      if (it != members_.end() && it->second.facts.state == MemberState::alive)
+        writer.add(update_of(it->first, it->second.facts));
     }
     send(to, writer, Rank::spare);
   }
 
-  void ack_came(const From& from, Nonce nonce) override {
+  void on_ack(const Sender& from, Nonce nonce) override {
     if (const auto helped = helped_.find(nonce.value); helped != helped_.end()) {
-      Writer writer(Kind::ack, fleet_, this->from(), helped->second.asked_as);
+      DatagramWriter writer(MessageKind::ack, fleet_, this->from(), helped->second.asked_as);
       send(helped->second.asker, writer, Rank::owed);
       helped_.erase(helped);
       return;
     }
     if (const auto it = members_.find(from.name); it != members_.end() && it->second.asked_as == nonce &&
-                                                  it->second.facts.standing == Standing::failed &&
-                                                  it->second.facts.start == from.start) {
+                                                  it->second.facts.state == MemberState::failed &&
+                                                  it->second.facts.generation == from.generation) {
       // Whom this node calls failed answers just now, from a larger part.
       if (!pardoned(it->second) && !outweighs(from)) {
         pardon();
-        start_anew(me().start);
+        start_anew(me().generation);
       }
       if (pardoned(it->second))
-        change(from.name, [&](Member& m) { m.standing = Standing::alive, m.by = from.name; });
+        change(from.name, [&](Member& m) { m.state = MemberState::alive, m.reported_by = from.name; });
     }
     // Guards against a node whose seeds are changed before it knows any of those that answer.
     if (!members_.contains(from.name)) met_ = from.address;
@@ -668,17 +670,17 @@
     if (from.digest != digest() && joined() && now_ - synced_at_ >= interval_) start_sync(from.address);
   }
 
-  void nack_came(const From& from, Nonce nonce) override {
+  void on_nack(const Sender& from, Nonce nonce) override {
     if (!probed_.empty() && probed_.back().nonce == nonce && nacks_.size() < kHelpers)
       nacks_.emplace_back(from.name);
   }
 
-  void ask_came(const From& from, Nonce nonce, std::string_view whom, const Address& at) override {
+  void on_ping_request(const Sender& from, Nonce nonce, std::string_view whom, const Address& at) override {
     if (silent() || helped_.size() >= kMostHelped) return;
     const Nonce own = next_nonce();
     helped_[own.value] = {nonce, from.address};
     const auto it = members_.find(whom);
-    send_gossip(Kind::ping, at, own, it == members_.end() ? std::string_view() : whom);
+    send_gossip(MessageKind::ping, at, own, it == members_.end() ? std::string_view() : whom);
     const Micros usual = it == members_.end() ? 0us : usual_trip(it->second);
     wake(std::max(interval_ / 2, usual), Due::helped, own.value);
   }
@@ -686,7 +688,7 @@
   void help_over(Nonce own) {
     const auto it = helped_.find(own.value);
     if (it == helped_.end()) return;
-    Writer writer(Kind::nack, fleet_, from(), it->second.asked_as);
+    DatagramWriter writer(MessageKind::nack, fleet_, from(), it->second.asked_as);
     send(it->second.asker, writer, Rank::owed);
     helped_.erase(it);
   }
@@ -696,7 +698,7 @@
   std::size_t sharers_wanted(std::string_view accused) const {
     std::size_t others = 0;
     for (const auto& [name, e] : members_) {
-      others += name != name_ && name != accused && e.facts.standing == Standing::alive;
+      others += name != name_ && name != accused && e.facts.state == MemberState::alive;
       if (others == kSharers) break;
     }
     return others;
@@ -714,23 +716,24 @@
     return Micros{static_cast<std::int64_t>(static_cast<double>(least.count()) * (1 + (most - 1) * open))};
   }
 
-  void suspect(std::string_view name, std::uint32_t word, std::string_view by) {
+  void suspect(std::string_view name, std::uint32_t incarnation, std::string_view by) {
     const auto it = members_.find(name);
     Entry& e = it->second;
     Member& m = e.facts;
-    if (word < m.word || (m.standing != Standing::alive && m.standing != Standing::suspected)) return;
-    if (m.standing == Standing::suspected && word == m.word) {
+    if (incarnation < m.incarnation || (m.state != MemberState::alive && m.state != MemberState::suspected))
+      return;
+    if (m.state == MemberState::suspected && incarnation == m.incarnation) {
       if (e.accusers.size() > kSharers ||
           std::find(e.accusers.begin(), e.accusers.end(), by) != e.accusers.end())
         return;
       e.accusers.emplace_back(by);
-      m.by = by;
+      m.reported_by = by;
       tell(it->first);  // others are to hear of each accuser
     } else {
       change(name, [&](Member& now) {
-        now.standing = Standing::suspected;
-        now.word = word;
-        now.by = by;
+        now.state = MemberState::suspected;
+        now.incarnation = incarnation;
+        now.reported_by = by;
       });
       e.accusers.assign(1, std::string(by));
       e.doubt_from = now_;
@@ -747,101 +750,103 @@
     std::vector<std::string> verdicts;
     bool more = false;
     for (const auto& [name, e] : members_) {
-      if (e.facts.standing != Standing::suspected) continue;
+      if (e.facts.state != MemberState::suspected) continue;
       if (now_ - e.doubt_from >= doubt(name, e))
         verdicts.push_back(name);
       else
         more = true;
     }
-    for (const std::string& name : verdicts) change(name, [](Member& m) { m.standing = Standing::failed; });
+    for (const std::string& name : verdicts) change(name, [](Member& m) { m.state = MemberState::failed; });
     if (more && !std::exchange(doubts_due_, true)) wake(interval_ / 4, Due::doubts);
   }
 
   // Words.
 
-  void sender_is(const From& from) {
+  void sender_is(const Sender& from) {
     // Guards against a name whose process here is an older one: whoever sends hears of the newer.
     const auto it = members_.find(from.name);
     if (it == members_.end() || it->first == name_) return;
     const Member& m = it->second.facts;
-    if (m.start > from.start || (m.start == from.start && m.standing == Standing::failed))
+    if (m.generation > from.generation || (m.generation == from.generation && m.state == MemberState::failed))
       tell_accused(from.name);
   }
 
-  void word_came(const From& from, const Word& w) override {
+  void on_update(const Sender& from, const MemberUpdate& w) override {
     if (w.name == name_) return of_myself(from, w);
     if (silent()) return;
     const auto sender = members_.find(from.name);
     // Whoever is called failed here accuses nobody: it is told first.
-    if (sender != members_.end() && w.name != from.name && w.standing > Standing::alive &&
-        final_for_start(sender->second.facts.standing) && sender->second.facts.start >= from.start)
+    if (sender != members_.end() && w.name != from.name && w.state > MemberState::alive &&
+        is_terminal(sender->second.facts.state) && sender->second.facts.generation >= from.generation)
       return;
     const auto it = members_.find(w.name);
     if (it == members_.end()) return of_stranger(from, w);
     Entry& e = it->second;
     const Member& m = e.facts;
-    if (w.start < m.start) return;
-    if (w.start > m.start) {
-      if (w.standing != Standing::joining) newer(w.name, w);
+    if (w.generation < m.generation) return;
+    if (w.generation > m.generation) {
+      if (w.state != MemberState::joining) newer(w.name, w);
       return;
     }
-    if (final_for_start(m.standing)) {
+    if (is_terminal(m.state)) {
       // It runs by another's word, or by its own: it has to hear that it starts anew.
-      if (m.standing == Standing::failed && w.standing < Standing::failed) tell_accused(w.name);
-      if (m.standing == Standing::failed && w.standing == Standing::left)
-        change(w.name, [&](Member& now) { now.standing = Standing::left, now.by = w.by; });
+      if (m.state == MemberState::failed && w.state < MemberState::failed) tell_accused(w.name);
+      if (m.state == MemberState::failed && w.state == MemberState::left)
+        change(w.name, [&](Member& now) { now.state = MemberState::left, now.reported_by = w.reported_by; });
       return;
     }
-    switch (w.standing) {
-      case Standing::joining:
+    switch (w.state) {
+      case MemberState::joining:
         return;
-      case Standing::alive:
-      case Standing::leaving:
-        if (m.standing == Standing::leaving && w.standing != Standing::leaving) return;
-        if (w.word > m.word) newer(w.name, w);
+      case MemberState::alive:
+      case MemberState::leaving:
+        if (m.state == MemberState::leaving && w.state != MemberState::leaving) return;
+        if (w.incarnation > m.incarnation) newer(w.name, w);
         return;
-      case Standing::suspected:
-        if (!w.by.empty()) suspect(w.name, w.word, w.by);
+      case MemberState::suspected:
+        if (!w.reported_by.empty()) suspect(w.name, w.incarnation, w.reported_by);
         return;
-      case Standing::failed:
-        if (m.standing == Standing::leaving)
-          return change(w.name, [&](Member& now) { now.standing = Standing::left, now.by = w.by; });
+      case MemberState::failed:
+        if (m.state == MemberState::leaving)
+          return change(w.name,
+                        [&](Member& now) { now.state = MemberState::left, now.reported_by = w.reported_by; });
         // Doubted here first: after a partition both sides have failed each other, and those here may well
         // run.
-        suspect(w.name, m.word, w.by.empty() ? from.name : w.by);
+        suspect(w.name, m.incarnation, w.reported_by.empty() ? from.name : w.reported_by);
         e.verdict_said = true;
         tell_accused(w.name);
         return;
-      case Standing::left:
-        return change(w.name, [&](Member& now) { now.standing = Standing::left, now.by = w.by; });
+      case MemberState::left:
+        return change(w.name,
+                      [&](Member& now) { now.state = MemberState::left, now.reported_by = w.reported_by; });
     }
   }
 
-  void newer(std::string_view name, const Word& w) {
+  void newer(std::string_view name, const MemberUpdate& w) {
     // An accusation of this node's that is refuted: it may be this node that is ill.
     const auto& accusers = members_.find(name)->second.accusers;
     if (std::find(accusers.begin(), accusers.end(), name_) != accusers.end())
       health_ = std::min(health_ + 1, kMostHealth);
-    const bool accused = w.standing == Standing::suspected;
-    const bool verdict = w.standing == Standing::failed;
+    const bool accused = w.state == MemberState::suspected;
+    const bool verdict = w.state == MemberState::failed;
     change(name, [&](Member& m) {
-      take_facts(m, w, accused || verdict ? w.by : w.name);
-      if (accused) m.standing = Standing::alive;
+      take_facts(m, w, accused || verdict ? w.reported_by : w.name);
+      if (accused) m.state = MemberState::alive;
     });
-    if (accused && !w.by.empty()) suspect(name, w.word, w.by);
+    if (accused && !w.reported_by.empty()) suspect(name, w.incarnation, w.reported_by);
   }
 
-  void of_stranger(const From& from, const Word& w) {
-    if (w.standing == Standing::joining || w.standing == Standing::left) return;
+  void of_stranger(const Sender& from, const MemberUpdate& w) {
+    if (w.state == MemberState::joining || w.state == MemberState::left) return;
     // The dead are learned of while this node is new. Later they would come back from others as soon as they
     // are forgotten here.
-    if (w.standing == Standing::failed && now_ - joined_at_ > interval_ * kLearnsDead) return;
+    if (w.state == MemberState::failed && now_ - joined_at_ > interval_ * kLearnsDead) return;
     if (!make_room()) return;
     const auto it = members_.try_emplace(std::string(w.name)).first;
     Entry& e = it->second;
-    const bool accused = w.standing == Standing::suspected;
-    take_facts(e.facts, w, accused || final_for_start(w.standing) ? w.by : from.name);
-    if (accused) e.facts.standing = Standing::alive;
+    const bool accused = w.state == MemberState::suspected;
+    take_facts(e.facts, w, accused || is_terminal(w.state) ? w.reported_by : from.name);
+    if (accused) e.facts.state = MemberState::alive;
     e.facts.since = now_;
     digest(it->first, e.facts, Way::in);
     // Drawn into the present round at a place by chance, so that it is not left for the next.
@@ -849,39 +854,40 @@
       order_.push_back(it->first);
       if (next_ < order_.size()) std::swap(order_.back(), order_[next_ + below(order_.size() - next_)]);
     }
-    tell(it->first, from.exchanges);
-    outlet_.changed(it->first, e.facts, true);
-    if (accused && !w.by.empty()) suspect(it->first, w.word, w.by);
+    tell(it->first, from.from_sync);
+    delegate_.on_member_changed(it->first, e.facts, true);
+    if (accused && !w.reported_by.empty()) suspect(it->first, w.incarnation, w.reported_by);
   }
 
-  void of_myself(const From& from, const Word& w) {
+  void of_myself(const Sender& from, const MemberUpdate& w) {
     doubted_ = true;
     const Member& m = me();
     // Of this very process, or of one before it at the same address.
-    if (w.start == m.start && w.address == m.address) {
-      if (w.standing == Standing::failed || w.standing == Standing::left) {
-        if (m.standing == Standing::leaving) return;
+    if (w.generation == m.generation && w.address == m.address) {
+      if (w.state == MemberState::failed || w.state == MemberState::left) {
+        if (m.state == MemberState::leaving) return;
         // The smaller part yields, so that one node that was cut off does not make all others start anew.
         if (outweighs(from)) return;
         health_ = std::min(health_ + 1, kMostHealth);
         pardon();
-        start_anew(w.start);
-      } else if (w.word > m.word || (w.standing == Standing::suspected && w.word == m.word)) {
-        if (m.standing == Standing::joining) return;
+        start_anew(w.generation);
+      } else if (w.incarnation > m.incarnation ||
+                 (w.state == MemberState::suspected && w.incarnation == m.incarnation)) {
+        if (m.state == MemberState::joining) return;
         health_ = std::min(health_ + 1, kMostHealth);
-        change(name_, [&](Member& now) { now.word = w.word + 1; });
-        if (!silent()) send_gossip(Kind::gossip, from.address, next_nonce(), name_);
+        change(name_, [&](Member& now) { now.incarnation = w.incarnation + 1; });
+        if (!silent()) send_gossip(MessageKind::gossip, from.address, next_nonce(), name_);
       }
       return;
     }
-    if (w.start < m.start && w.address == m.address) return;
-    if (final_for_start(w.standing) || w.address == m.address) {
-      if (w.start >= m.start && !silent()) start_anew(w.start);
+    if (w.generation < m.generation && w.address == m.address) return;
+    if (is_terminal(w.state) || w.address == m.address) {
+      if (w.generation >= m.generation && !silent()) start_anew(w.generation);
       return;
     }
     // Another process of this name at another address: the younger one has to go.
-    if (w.standing == Standing::joining || w.standing == Standing::leaving) return;
-    highest_rival_ = std::max(highest_rival_, w.start);
+    if (w.state == MemberState::joining || w.state == MemberState::leaving) return;
+    highest_rival_ = std::max(highest_rival_, w.generation);
     if (claiming_ || rival_) return;
     claiming_ = true;
     rival_at_ = w.address;
@@ -892,7 +898,7 @@
   // What this node believed while it was cut off is asked anew: whoever answers has run all the time.
   void pardon() {
     for (News& n : members_) {
-      if (n.second.facts.standing != Standing::failed) continue;
+      if (n.second.facts.state != MemberState::failed) continue;
       n.second.pardoned_until = now_ + interval_ * kPardon;
       unspread(n);
     }
@@ -903,7 +909,7 @@
   std::uint32_t weight() const {
     return static_cast<std::uint32_t>(well_) * static_cast<std::uint32_t>(std::popcount(answers_));
   }
-  bool outweighs(const From& other) const {
+  bool outweighs(const Sender& other) const {
     return std::pair(weight(), digest()) > std::pair(other.weight, other.digest);
   }
 
@@ -912,20 +918,20 @@
   // Two processes of one name.
 
   void send_claim(const Address& to, Nonce nonce) {
-    Writer writer(Kind::claim, fleet_, from(), nonce);
-    writer.claim(now_ - began_);
+    DatagramWriter writer(MessageKind::name_claim, fleet_, from(), nonce);
+    writer.name_claim(now_ - began_);
     send(to, writer, Rank::owed);
   }
 
-  void claim_came(const From& from, Micros running) override {
+  void on_name_claim(const Sender& from, Micros running) override {
     if (from.name != name_ || from.address == me().address) return;
     const Micros own = now_ - began_;
     const bool elder = own != running ? own > running : me().address < from.address;
-    highest_rival_ = std::max(highest_rival_, from.start);
+    highest_rival_ = std::max(highest_rival_, from.generation);
     if (elder && !rival_) {
       // What was believed of the younger one is over.
       send_claim(from.address, next_nonce());
-      if (from.start >= me().start) start_anew(from.start);
+      if (from.generation >= me().generation) start_anew(from.generation);
       return;
     }
     if (elder) return;
@@ -938,8 +944,8 @@
       std::snprintf(line, sizeof line,
                     "name-in-use name=%s elder=%s elder_running_ms=%lld; this node stays out", name_.c_str(),
                     to_text(from.address).c_str(), static_cast<long long>(running.count() / 1000));
-      outlet_.said(line);
-      change(name_, [](Member& m) { m.standing = Standing::joining; });
+      delegate_.log(line);
+      change(name_, [](Member& m) { m.state = MemberState::joining; });
       news_.clear();
       for (auto& [name, e] : members_) e.sends = 0;
     }
@@ -973,17 +979,18 @@
   void start_sync(const Address& with) {
     if (silent()) return;
     synced_at_ = now_;
-    Writer writer(Kind::sync, fleet_, from(), next_nonce());
-    writer.sync(false, buckets_);
+    DatagramWriter writer(MessageKind::sync_digest, fleet_, from(), next_nonce());
+    writer.sync_digest(false, buckets_);
     send(with, writer, Rank::spare);
   }
 
-  void sync_came(const From& from, bool answered, std::span<const std::uint64_t, kBuckets> digests) override {
+  void on_sync_digest(const Sender& from, bool answered,
+                      std::span<const std::uint64_t, kDigestBuckets> digests) override {
     if (silent() || !joined()) return;
-    std::vector<Word> words;
+    std::vector<MemberUpdate> words;
     for (const auto& [name, e] : members_) {
-      if (e.facts.standing == Standing::joining || pardoned(e)) continue;
-      if (digests[bucket(name)] != buckets_[bucket(name)]) words.push_back(word_of(name, e.facts));
+      if (e.facts.state == MemberState::joining || pardoned(e)) continue;
+      if (digests[bucket(name)] != buckets_[bucket(name)]) words.push_back(update_of(name, e.facts));
     }
     // Where they differ by more than one answer holds, a part drawn by chance; the next ones bring the rest.
     if (!words.empty())
@@ -991,61 +998,61 @@
                   words.end());
     std::size_t at = 0;
     for (std::size_t n = 0; n < kSyncDatagrams && at < words.size(); ++n) {
-      Writer writer(Kind::views, fleet_, this->from(), next_nonce());
+      DatagramWriter writer(MessageKind::sync_updates, fleet_, this->from(), next_nonce());
       while (at < words.size() && writer.add(words[at])) ++at;
       send(from.address, writer, Rank::spare);
     }
     if (answered) return;
-    Writer back(Kind::sync, fleet_, this->from(), next_nonce());
-    back.sync(true, buckets_);
+    DatagramWriter back(MessageKind::sync_digest, fleet_, this->from(), next_nonce());
+    back.sync_digest(true, buckets_);
     send(from.address, back, Rank::spare);
   }
 
   // For those who look on.
 
   // Whoever is asked anew is in doubt.
-  Word shown(std::string_view name, const Entry& e) const {
-    Word out = word_of(name, e.facts);
-    if (pardoned(e)) out.standing = Standing::suspected;
+  MemberUpdate shown(std::string_view name, const Entry& e) const {
+    MemberUpdate out = update_of(name, e.facts);
+    if (pardoned(e)) out.state = MemberState::suspected;
     return out;
   }
 
-  void query_came(Nonce nonce, std::string_view after) override {
-    Writer writer(Kind::page, fleet_, from(), nonce);
+  void on_view_query(Nonce nonce, std::string_view after) override {
+    DatagramWriter writer(MessageKind::view_page, fleet_, from(), nonce);
     auto it = after.empty() ? members_.begin() : members_.upper_bound(after);
     // The mark whether it is the last stands before the words: it is known only when they have been tried.
-    Writer tried(Kind::page, fleet_, from(), nonce);
-    tried.page(true);
+    DatagramWriter tried(MessageKind::view_page, fleet_, from(), nonce);
+    tried.view_page(true);
     auto end = it;
     for (; end != members_.end(); ++end) {
-      if (end->second.facts.standing == Standing::left) continue;
+      if (end->second.facts.state == MemberState::left) continue;
       if (!tried.add(shown(end->first, end->second), now_ - end->second.facts.since)) break;
     }
     if (end == members_.end()) return show(tried);
-    writer.page(false);
+    writer.view_page(false);
     for (; it != end; ++it)
-      if (it->second.facts.standing != Standing::left)
+      if (it->second.facts.state != MemberState::left)
         writer.add(shown(it->first, it->second), now_ - it->second.facts.since);
     show(writer);
   }
 
-  void complain(Wrong wrong) {
+  void complain(DecodeError wrong) {
     if (complained_at_ != kNever && now_ - complained_at_ < 10s) return;
     complained_at_ = now_;
     char line[160];
     std::snprintf(line, sizeof line, "datagram dropped why=%s from=%s", name_of(wrong),
                   to_text(came_from_).c_str());
-    outlet_.said(line);
+    delegate_.log(line);
   }
 
   struct Probed {
     Nonce nonce;
     std::string name;
-    Start start;
+    Generation generation;
     Micros at;
   };
 
-  Outlet& outlet_;
+  ViewDelegate& delegate_;
   std::string fleet_, name_;
   std::vector<Address> seeds_;
   std::optional<Address> met_;  // who answered and was no member then
@@ -1053,7 +1060,7 @@
   std::size_t most_;
   std::knuth_b chance_;
   Entries members_;
-  std::array<std::uint64_t, kBuckets> buckets_{};
+  std::array<std::uint64_t, kDigestBuckets> buckets_{};
   std::size_t live_ = 0, well_ = 0;  // members not gone, and those of them not suspected
   std::vector<News*> news_;
   std::vector<std::string> order_, look_at_;
@@ -1070,30 +1077,33 @@
   bool claiming_ = false, rival_ = false;
   bool doubted_ = false;  // the datagram at hand speaks of this node: somebody waits for its answer
   Address rival_at_, came_from_;
-  Start highest_rival_;
+  Generation highest_rival_;
   Micros now_{0}, began_ = kNever, due_ = Micros::max(), refill_at_{0}, seed_pause_{0}, synced_at_{0},
                   rival_heard_{0}, joined_at_{0}, complained_at_ = kNever;
   double bytes_left_ = kBytesKept, shown_left_ = kBytesKept;
-  Counts counts_;
+  ViewCounters counters_;
 };
 
-View::View(Outlet& outlet, std::string fleet, std::string name, Start start, const Address& told,
-           std::string zone, std::string version, std::vector<Address> seeds, Micros interval, Micros forget,
-           std::size_t most, std::uint64_t seed)
-    : impl_(std::make_unique<Impl>(outlet, std::move(fleet), std::move(name), start, told, std::move(zone),
-                                   std::move(version), std::move(seeds), interval, forget, most, seed)) {}
+View::View(ViewDelegate& delegate, std::string fleet, std::string name, Generation generation,
+           const Address& told, std::string zone, std::string version, std::vector<Address> seeds,
+           Micros interval, Micros forget, std::size_t most, std::uint64_t seed)
+    : impl_(std::make_unique<Impl>(delegate, std::move(fleet), std::move(name), generation, told,
+                                   std::move(zone), std::move(version), std::move(seeds), interval, forget,
+                                   most, seed)) {}
 View::~View() = default;
-void View::at(Micros now) { impl_->at(now); }
-void View::begin() { impl_->begin(); }
+void View::set_time(Micros now) { impl_->set_time(now); }
+void View::start() { impl_->start(); }
 void View::received(const Address& from, std::string_view bytes) { impl_->received(from, bytes); }
-void View::woken(WakeId wake) { impl_->woken(wake); }
-void View::seeds(std::vector<Address> seeds) { impl_->seeds(std::move(seeds)); }
+void View::timer_expired(WakeId timer) { impl_->timer_expired(timer); }
+void View::set_seeds(std::vector<Address> seeds) { impl_->set_seeds(std::move(seeds)); }
 void View::leave() { impl_->leave(); }
-void View::note(std::string_view note) { impl_->note(note); }
-void View::draw(std::size_t near, std::size_t far, std::vector<Address>& to) { impl_->draw(near, far, to); }
+void View::set_metadata(std::string_view metadata) { impl_->set_metadata(metadata); }
+void View::pick_members(std::size_t near, std::size_t far, std::vector<Address>& to) {
+  impl_->pick_members(near, far, to);
+}
 std::uint64_t View::digest() const { return impl_->digest(); }
-unsigned View::acting() const { return impl_->acting(); }
+unsigned View::active_count() const { return impl_->active_count(); }
 bool View::joined() const { return impl_->joined(); }
-const Counts& View::counts() const { return impl_->counts(); }
+const ViewCounters& View::counters() const { return impl_->counters(); }
 
 }  // namespace flintweir::members
--- a/src/node/changing.h
+++ b/src/node/changing.h
@@ -28,7 +28,7 @@
   void send(const Address& to, std::string_view bytes) override { network_.send_datagram(to, bytes); }
   void wake(Micros in, WakeId wake) override { wakes_.after(in, *this, wake.value); }
   void draw(std::size_t near, std::size_t far, std::vector<Address>& to) override {
-    view_.draw(near, far, to);
+    view_.pick_members(near, far, to);
   }
   std::string take(const changes::Change& change) override { return take_(change); }
   void keep(const changes::Change& change, bool in_force) override;
--- a/src/node/holder.cpp
+++ b/src/node/holder.cpp
@@ -23,17 +23,17 @@
 
 void VoterPlaces::ask() {
   asked_ = nodes_[next_++ % nodes_.size()];
-  asker_ = members::Asker(nonces_ += 1 << 10);
-  network_.send_datagram(asked_, asker_.question());
+  asker_ = members::ViewQuery(nonces_ += 1 << 10);
+  network_.send_datagram(asked_, asker_.next_request());
 }
 
 bool VoterPlaces::received(const Address& from, std::string_view bytes) {
   if (from != asked_) return false;
   if (!asker_.received(bytes)) {
-    network_.send_datagram(asked_, asker_.question());
+    network_.send_datagram(asked_, asker_.next_request());
     return true;
   }
-  for (const members::Asker::Row& row : asker_.rows())
+  for (const members::ViewQuery::Row& row : asker_.rows())
     if (const auto voter = named(row.name)) known_[*voter] = row.address;
   return true;
 }
@@ -56,7 +56,7 @@
       who_(std::move(who)),
       here_(here),
       told_(told),
-      set_(set_of(own.leases->voters, own.leases->length)),
+      set_(voter_set_id(own.leases->voters, own.leases->length)),
       whom_(whom),
       places_(network, *own.fleet, own.leases->voters, seed),
       seeker_(*this, std::move(lease), own.leases->voters.size(), own.leases->length,
@@ -66,25 +66,26 @@
   here_ = network_.open_datagrams(here_);
   network_.wait_datagram(*this);
   woken(look_for_voters);
-  seeker().want();
+  seeker().acquire();
 }
 
-Seeker& Holder::seeker() {
-  seeker_.at(network_.ticking());
+Candidate& Holder::seeker() {
+  seeker_.set_time(network_.ticking());
   return seeker_;
 }
 
-void Holder::let_go() { seeker().let_go(); }
-Micros Holder::left() { return seeker().left(); }
+void Holder::let_go() { seeker().release(); }
+Micros Holder::left() { return seeker().remaining(); }
 
-void hear_post(net::Network& network, net::DatagramEvents& whom, Hearer& hearer, VoterPlaces& places) {
-  char bytes[members::kLongestDatagram + 1];
+void hear_post(net::Network& network, net::DatagramEvents& whom, DatagramHandler& hearer,
+               VoterPlaces& places) {
+  char bytes[members::kMaxDatagramBytes + 1];
   for (;;) {
     const net::Received got = network.receive(bytes, sizeof bytes);
     if (got.how == net::Io::later) break;
     if (got.how != net::Io::done) continue;
     const std::string_view text(bytes, got.bytes);
-    is_lease(text) ? void(decode(text, hearer)) : void(places.received(got.from, text));
+    is_lease_datagram(text) ? void(decode(text, hearer)) : void(places.received(got.from, text));
   }
   network.wait_datagram(whom);
 }
@@ -92,23 +93,23 @@
 void Holder::datagram_waits() { hear_post(network_, *this, *this, places_); }
 
 void Holder::woken(std::uint64_t token) {
-  if (token != look_for_voters) return seeker().woken(WakeId{token});
+  if (token != look_for_voters) return seeker().timer_expired(WakeId{token});
   places_.ask();
   wakes_.after(places_.all() ? kLooksAgain : kLooks, *this, look_for_voters);
 }
 
-void Holder::ask(VoterNo voter, const Request& request) {
+void Holder::send_request(VoterIndex voter, const Request& request) {
   const Address* const at = places_.of(voter.value);
   if (!at) return;
-  Writer writer(Writer::Kind::requests, {set_, who_, told_.value_or(here_)});
+  DatagramWriter writer(DatagramWriter::Kind::requests, {set_, who_, told_.value_or(here_)});
   writer.add(request);
-  network_.send_datagram(*at, writer.done());
+  network_.send_datagram(*at, writer.finish());
 }
 
-void Holder::reply_came(const Sender& from, const Reply& reply) {
+void Holder::on_reply(const Sender& from, const Reply& reply) {
   const auto voter = places_.named(from.name);
-  if (voter && from.set == set_ && reply.lease == seeker_.lease())
-    seeker().answered(VoterNo{static_cast<std::uint32_t>(*voter)}, reply);
+  if (voter && from.voter_set == set_ && reply.lease == seeker_.lease())
+    seeker().on_reply(VoterIndex{static_cast<std::uint32_t>(*voter)}, reply);
 }
 
 }  // namespace flintweir::node
--- a/src/node/holder.h
+++ b/src/node/holder.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
+#include "leases/candidate.h"
 #include "leases/datagram.h"
-#include "leases/seeker.h"
-#include "members/asker.h"
+#include "members/view_query.h"
 #include "net/network.h"
 #include "net/wakes.h"
 #include "setup/operator.h"
@@ -37,13 +37,14 @@
   std::size_t next_ = 0;
   std::uint64_t nonces_;
   Address asked_;
-  members::Asker asker_{0};
+  members::ViewQuery asker_{0};
 };
 
 // All that waits: what is said of leases to the one, views to the other; then waits for more.
-void hear_post(net::Network& network, net::DatagramEvents& whom, leases::Hearer& hearer, VoterPlaces& places);
+void hear_post(net::Network& network, net::DatagramEvents& whom, leases::DatagramHandler& hearer,
+               VoterPlaces& places);
 
-class Holder final : net::DatagramEvents, net::Woken, leases::Hearer, leases::Seeker::Outlet {
+class Holder final : net::DatagramEvents, net::Woken, leases::DatagramHandler, leases::Candidate::Delegate {
  public:
   class Told {
    public:
@@ -66,13 +67,13 @@
   enum Due : std::uint64_t { look_for_voters = ~0ull };
   void datagram_waits() override;
   void woken(std::uint64_t token) override;
-  void ask(leases::VoterNo voter, const leases::Request& request) override;
-  void wake(Micros in, WakeId wake) override { wakes_.after(in, *this, wake.value); }
-  void held(leases::Token token) override { whom_.held(token); }
-  void lost(leases::Token token, std::string_view why) override { whom_.lost(token, why); }
-  void waits(std::string_view why) override { whom_.waits(why); }
-  void reply_came(const leases::Sender& from, const leases::Reply& reply) override;
-  leases::Seeker& seeker();  // at the present time
+  void send_request(leases::VoterIndex voter, const leases::Request& request) override;
+  void set_timer(Micros delay, WakeId timer) override { wakes_.after(delay, *this, timer.value); }
+  void on_acquired(leases::Token token) override { whom_.held(token); }
+  void on_lost(leases::Token token, std::string_view why) override { whom_.lost(token, why); }
+  void on_waiting(std::string_view why) override { whom_.waits(why); }
+  void on_reply(const leases::Sender& from, const leases::Reply& reply) override;
+  leases::Candidate& seeker();  // at the present time
 
   net::Network& network_;
   net::Wakes& wakes_;
@@ -82,7 +83,7 @@
   std::uint64_t set_;
   Told& whom_;
   VoterPlaces places_;
-  leases::Seeker seeker_;
+  leases::Candidate seeker_;
 };
 
 }  // namespace flintweir::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -108,7 +108,7 @@
 
 void Node::join(const setup::OperatorFile& own, std::string name, std::string version, std::uint64_t seed) {
   if (name.empty()) setup::bad("configuration: name is missing, which the operator's [fleet] needs");
-  if (name.size() > members::kLongestName || !is_plain(name))
+  if (name.size() > members::kMaxNameBytes || !is_plain(name))
     setup::bad("configuration: name '" + name +
                "' is over 64 characters or not all printable ASCII without blanks and quotes");
   peers_ = std::make_unique<Peers>(network_, wakes_, *own.fleet, name, std::move(version), seed,
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -23,7 +23,7 @@
       count_(std::move(count)),
       seed_(seed),
       view_(*this, fleet.name, std::move(name),
-            members::Start{static_cast<std::uint64_t>(wakes.now().count())}, fleet.told, fleet.zone,
+            members::Generation{static_cast<std::uint64_t>(wakes.now().count())}, fleet.told, fleet.zone,
             std::move(version), fleet.seeds, fleet.interval, fleet.forget, fleet.most, seed) {}
 
 void Peers::begin() {
@@ -34,8 +34,8 @@
   if (leases_)
     voting_ = std::make_unique<Voting>(network_, *leases_, name_, fleet_.told,
                                        static_cast<std::uint64_t>(wakes_.now().count()));
-  view_.at(wakes_.now());
-  view_.begin();
+  view_.set_time(wakes_.now());
+  view_.start();
   if (changing_) changing_->begin();
 }
 
@@ -54,18 +54,18 @@
   with_seeds.seeds = fleet.seeds;
   if (fleet != with_seeds) log_line("reload: fleet: all but the seeds holds until the next start");
   fleet_.seeds = fleet.seeds;
-  view_.at(wakes_.now());
-  view_.seeds(fleet.seeds);
+  view_.set_time(wakes_.now());
+  view_.set_seeds(fleet.seeds);
 }
 
 void Peers::leave() {
-  view_.at(wakes_.now());
+  view_.set_time(wakes_.now());
   view_.leave();
 }
 
 void Peers::datagram_waits() {
-  char bytes[members::kLongestDatagram + 1];
-  view_.at(wakes_.now());
+  char bytes[members::kMaxDatagramBytes + 1];
+  view_.set_time(wakes_.now());
   for (int i = 0; i < kDatagramsInARow; ++i) {
     const Received got = network_.receive(bytes, sizeof bytes);
     if (got.how == Io::later) break;
@@ -73,7 +73,7 @@
     const std::string_view text(bytes, got.bytes);
     if (changes::is_change(text)) {
       if (changing_) changing_->received(got.from, text);
-    } else if (!leases::is_lease(text))
+    } else if (!leases::is_lease_datagram(text))
       view_.received(got.from, text);
     else if (voting_ && view_.joined())  // a second process of this name has no vote
       voting_->received(text);
@@ -83,20 +83,21 @@
 
 void Peers::woken(std::uint64_t token) {
   if (token == kCounts) return tell_count();
-  view_.at(wakes_.now());
-  view_.woken(WakeId{token});
+  view_.set_time(wakes_.now());
+  view_.timer_expired(WakeId{token});
 }
 
-void Peers::changed(std::string_view name, const members::Member& now, bool fresh) {
+void Peers::on_member_changed(std::string_view name, const members::Member& now, bool fresh) {
   log_line("member name=%.*s standing=%s start=%llu word=%u address=%s zone=%s by=%s%s digest=%016llx",
-           static_cast<int>(name.size()), name.data(), members::name_of(now.standing),
-           static_cast<unsigned long long>(now.start.value), now.word, to_text(now.address).c_str(),
-           now.zone.empty() ? "-" : now.zone.c_str(), now.by.empty() ? "-" : now.by.c_str(),
-           fresh ? " new" : "", static_cast<unsigned long long>(view_.digest()));
+           static_cast<int>(name.size()), name.data(), members::name_of(now.state),
+           static_cast<unsigned long long>(now.generation.value), now.incarnation,
+           to_text(now.address).c_str(), now.zone.empty() ? "-" : now.zone.c_str(),
+           now.reported_by.empty() ? "-" : now.reported_by.c_str(), fresh ? " new" : "",
+           static_cast<unsigned long long>(view_.digest()));
   tell_count();
 }
 
-void Peers::said(std::string_view line) {
+void Peers::log(std::string_view line) {
   log_line("fleet: %.*s", static_cast<int>(line.size()), line.data());
 }
 
@@ -109,7 +110,7 @@
     joined_at_ = now;
     return wakes_.after(learns, *this, kCounts);
   }
-  const unsigned acting = view_.acting();
+  const unsigned acting = view_.active_count();
   if (now - joined_at_ < learns || acting == told_) return;
   told_ = acting;
   log_line("fleet: count=%u", acting);
--- a/src/node/peers.h
+++ b/src/node/peers.h
@@ -17,7 +17,7 @@
 
 using namespace net;
 
-class Peers final : members::Outlet, Woken, DatagramEvents {
+class Peers final : members::ViewDelegate, Woken, DatagramEvents {
  public:
   // `count` is called with the number of nodes that may be acting, whenever it is another.
   Peers(Network& network, Wakes& wakes, const setup::FleetSection& fleet, std::string name,
@@ -31,16 +31,16 @@
   // None: changes are not carried.
   const changes::Status* change_status() const { return changing_ ? &changing_->status() : nullptr; }
   std::uint64_t digest() const { return view_.digest(); }
-  unsigned acting() const { return view_.acting(); }
+  unsigned acting() const { return view_.active_count(); }
   // Takes new seeds; all else holds until the next start.
   void reload(const setup::FleetSection& fleet);
   void leave();
 
  private:
   void send(const Address& to, std::string_view bytes) override { network_.send_datagram(to, bytes); }
-  void wake(Micros in, WakeId wake) override { wakes_.after(in, *this, wake.value); }
-  void changed(std::string_view name, const members::Member& now, bool fresh) override;
-  void said(std::string_view line) override;
+  void set_timer(Micros delay, WakeId timer) override { wakes_.after(delay, *this, timer.value); }
+  void on_member_changed(std::string_view name, const members::Member& now, bool fresh) override;
+  void log(std::string_view line) override;
   void datagram_waits() override;
   void woken(std::uint64_t token) override;
   void tell_count();
--- a/src/node/promise_folder.cpp
+++ b/src/node/promise_folder.cpp
@@ -50,17 +50,17 @@
   return out;
 }
 
-std::string text_of(const leases::Folder::Kept& k) {
+std::string text_of(const leases::VoterStorage::Record& k) {
   const auto or_none = [](const std::string& s) { return s.empty() ? std::string("-") : s; };
   return with_sum("1 " + k.lease + ' ' + std::to_string(k.promised.value) + ' ' + or_none(k.promised_to) +
                   ' ' + std::to_string(k.granted.value) + ' ' + or_none(k.holder) + '\n');
 }
 
-std::optional<leases::Folder::Kept> kept_of(const std::string& text) {
+std::optional<leases::VoterStorage::Record> kept_of(const std::string& text) {
   const std::size_t end = text.find('\n');
   if (end == text.npos || with_sum(text.substr(0, end + 1)) != text) return std::nullopt;
   std::istringstream in(text);
-  leases::Folder::Kept k;
+  leases::VoterStorage::Record k;
   int version = 0;
   if (!(in >> version >> k.lease >> k.promised.value >> k.promised_to >> k.granted.value >> k.holder) ||
       version != 1)
@@ -133,6 +133,6 @@
   return disk_.write(name + ".new", text) && disk_.rename(name + ".new", name) && disk_.sync_folder();
 }
 
-bool PromiseFolder::keep(const Kept& kept) { return put(file_of(kept.lease), text_of(kept)); }
+bool PromiseFolder::save(const Record& record) { return put(file_of(record.lease), text_of(record)); }
 
 }  // namespace flintweir::node
--- a/src/node/promise_folder.h
+++ b/src/node/promise_folder.h
@@ -1,5 +1,5 @@
 // A voter's promises on disk: a file for each lease, written beside it, synced, renamed into place and synced
-// again before keep() returns true, so that it is found old or new and never in part.
+// again before save() returns true, so that it is found old or new and never in part.
 #pragma once
 
 #include <optional>
@@ -34,18 +34,18 @@
   std::string path_;
 };
 
-class PromiseFolder final : public leases::Folder {
+class PromiseFolder final : public leases::VoterStorage {
  public:
   // Throws std::runtime_error where the folder is another voter's or can't be read or written.
   PromiseFolder(Disk& disk, const std::string& voter);
   // Nothing where the folder is new: what was promised before, if anything was, is not known.
-  const std::optional<std::vector<Kept>>& kept() const { return kept_; }
-  bool keep(const Kept& kept) override;
+  const std::optional<std::vector<Record>>& kept() const { return kept_; }
+  bool save(const Record& record) override;
 
  private:
   bool put(const std::string& name, const std::string& text);
   Disk& disk_;
-  std::optional<std::vector<Kept>> kept_;
+  std::optional<std::vector<Record>> kept_;
 };
 
 }  // namespace flintweir::node
--- a/src/node/voting.cpp
+++ b/src/node/voting.cpp
@@ -19,7 +19,7 @@
     : network_(network),
       name_(std::move(name)),
       told_(told),
-      set_(set_of(leases.voters, leases.length)),
+      set_(voter_set_id(leases.voters, leases.length)),
       disk_(leases.folder),
       folder_(leases.folder.empty() ? std::optional<PromiseFolder>()
                                     : std::optional<PromiseFolder>(std::in_place, disk_, name_)),
@@ -33,49 +33,49 @@
 
 void Voting::received(std::string_view bytes) { decode(bytes, *this); }
 
-void Voting::request_came(const Sender& from, const Request& r) {
-  if (r.ask == Ask::look) return show(from, r.lease);
+void Voting::on_request(const Sender& from, const Request& r) {
+  if (r.kind == RequestKind::query) return show(from, r.lease);
   const Micros now = network_.ticking();
-  if (from.set != set_) {
+  if (from.voter_set != set_) {
     // Voters of one set must not be counted for another: a majority of each may share nobody.
     if (complained_at_ == kNever || now - complained_at_ >= 10s) {
       complained_at_ = now;
       net::log_line("leases: other-set from=%.*s theirs=%016llx ours=%016llx",
                     static_cast<int>(from.name.size()), from.name.data(),
-                    static_cast<unsigned long long>(from.set), static_cast<unsigned long long>(set_));
+                    static_cast<unsigned long long>(from.voter_set), static_cast<unsigned long long>(set_));
     }
     return;
   }
-  const auto reply = voter_.asked(now, r, from.name);
+  const auto reply = voter_.handle(now, r, from.name);
   if (!reply) return;
-  answer(from.told, *reply);
-  if (reply->say == Say::in_line && (places_.size() < kMostPlaces || places_.contains(from.name)))
-    places_.insert_or_assign(std::string(from.name), from.told);
-  if (reply->say != Say::freed) return;
-  for (const std::string& next : voter_.freed(r.lease)) {
+  answer(from.reply_to, *reply);
+  if (reply->kind == ReplyKind::queued && (places_.size() < kMostPlaces || places_.contains(from.name)))
+    places_.insert_or_assign(std::string(from.name), from.reply_to);
+  if (reply->kind != ReplyKind::released) return;
+  for (const std::string& next : voter_.take_waiters(r.lease)) {
     if (const auto it = places_.find(next); it != places_.end())
-      answer(it->second, {Say::freed, r.lease, r.token, Round{}, r.token, {}, 0us});
+      answer(it->second, {ReplyKind::released, r.lease, r.token, Round{}, r.token, {}, 0us});
   }
 }
 
 void Voting::answer(const Address& to, const Reply& reply) {
-  Writer writer(Writer::Kind::replies, {set_, name_, told_});
+  DatagramWriter writer(DatagramWriter::Kind::replies, {set_, name_, told_});
   writer.add(reply);
-  network_.send_datagram(to, writer.done());
+  network_.send_datagram(to, writer.finish());
 }
 
 // A page of what stands behind that name.
 void Voting::show(const Sender& to, std::string_view after) {
-  const auto all = voter_.all(network_.ticking());
+  const auto all = voter_.list(network_.ticking());
   for (const bool last : {true, false}) {
-    Writer writer(Writer::Kind::page, {set_, name_, told_});
-    writer.last(last);
+    DatagramWriter writer(DatagramWriter::Kind::status_page, {set_, name_, told_});
+    writer.set_last(last);
     bool whole = true;
-    for (const Voter::Standing& s : all)
+    for (const Voter::LeaseState& s : all)
       if (whole && s.lease > after)
-        whole =
-            writer.add(Shown{s.lease, s.holder, s.token, s.left, static_cast<std::uint32_t>(s.line.size())});
-    if (whole || !last) return network_.send_datagram(to.told, writer.done());
+        whole = writer.add(LeaseStatus{s.lease, s.holder, s.token, s.remaining,
+                                       static_cast<std::uint32_t>(s.waiters.size())});
+    if (whole || !last) return network_.send_datagram(to.reply_to, writer.finish());
   }
 }
 
--- a/src/node/voting.h
+++ b/src/node/voting.h
@@ -13,7 +13,7 @@
 
 namespace flintweir::node {
 
-class Voting final : leases::Hearer {
+class Voting final : leases::DatagramHandler {
  public:
   // Throws std::runtime_error where its folder is not to be used. `told`: where this node is reached.
   // `start`: the wall clock at the start, in microseconds.
@@ -22,7 +22,7 @@
   void received(std::string_view bytes);
 
  private:
-  void request_came(const leases::Sender& from, const leases::Request& request) override;
+  void on_request(const leases::Sender& from, const leases::Request& request) override;
   void show(const leases::Sender& to, std::string_view after);
   void answer(const Address& to, const leases::Reply& reply);
 
--- a/src/view_client.h
+++ b/src/view_client.h
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-#include "members/asker.h"
+#include "members/view_query.h"
 #include "net/kernel_network.h"
 
 namespace flintweir {
@@ -17,13 +17,13 @@
     network_.wait_datagram(*this);
   }
   // Nothing: nobody answers, or not to the end.
-  const members::Asker* ask() {
+  const members::ViewQuery* ask() {
     using namespace std::chrono_literals;
     asker_.emplace(static_cast<std::uint64_t>(network_.now().count()));
     whole_ = false;
     for (int silent = 0; silent < 3 && !whole_; ++silent) {
       answered_ = false;
-      network_.send_datagram(at_, asker_->question());
+      network_.send_datagram(at_, asker_->next_request());
       const auto until = network_.now() + 500ms;
       while (!answered_ && network_.now() < until) network_.run_for(until - network_.now());
       if (answered_) silent = -1;
@@ -33,7 +33,7 @@
 
  private:
   void datagram_waits() override {
-    char bytes[members::kLongestDatagram + 1];
+    char bytes[members::kMaxDatagramBytes + 1];
     for (;;) {
       const auto got = network_.receive(bytes, sizeof bytes);
       if (got.how == net::Io::later) break;
@@ -48,7 +48,7 @@
   net::KernelNetwork network_;
   Address at_;
   bool answered_ = false, whole_ = false;
-  std::optional<members::Asker> asker_;
+  std::optional<members::ViewQuery> asker_;
 };
 
 }  // namespace flintweir
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -96,30 +96,30 @@
 flintweir_flaw(verdict-never members view-ghost src/members/view.cpp
   "kLeastDoubt = 4;" "kLeastDoubt = 4000;")
 flintweir_flaw(dead-raised members view-back src/members/view.cpp
-  "    if (final_for_start(m.standing)) {" "    if (final_for_start(m.standing) && w.standing != Standing::alive) {"
-  "        if (w.word > m.word) newer(w.name, w);" "        newer(w.name, w);")
+  "    if (is_terminal(m.state)) {" "    if (is_terminal(m.state) && w.state != MemberState::alive) {"
+  "        if (w.incarnation > m.incarnation) newer(w.name, w);" "        newer(w.name, w);")
 flintweir_flaw(start-goes-back members view-back src/members/view.cpp
-  "    if (w.start < m.start) return;" "    if (w.start < m.start) return newer(w.name, w);")
+  "    if (w.generation < m.generation) return;" "    if (w.generation < m.generation) return newer(w.name, w);")
 flintweir_flaw(gossip-without-end members view-bound src/members/view.cpp
   "kGossipParts = 3;" "kGossipParts = 100;"
   "      --(*it)->second.sends;" ""
   "kBytesPerSecond = 64 << 10" "kBytesPerSecond = 64 << 20" "kBytesKept = 16 << 10" "kBytesKept = 16 << 20")
 flintweir_flaw(verdict-not-logged members view-log src/node/peers.cpp
-  "  log_line(\"member name" "  if (now.standing != members::Standing::failed) log_line(\"member name")
+  "  log_line(\"member name" "  if (now.state != members::MemberState::failed) log_line(\"member name")
 
 # Leases.
 flintweir_flaw(voter-forgets search two-hold src/leases/voter.cpp
   "silent_until_(kept ? now : now + longest)" "silent_until_(now)")
-flintweir_flaw(counts-from-answer search two- src/leases/seeker.cpp
-  "std::max(end_, sent_at_ + usable(length_))" "std::max(end_, now_ + usable(length_))")
-flintweir_flaw(rates-not-allowed-for search two-hold src/leases/seeker.cpp
-  "sent_at_ + usable(length_)" "sent_at_ + length_")
-flintweir_flaw(majority-of-answers search two-hold src/leases/seeker.cpp
+flintweir_flaw(counts-from-answer search two- src/leases/candidate.cpp
+  "std::max(end_, sent_at_ + usable_duration(length_))" "std::max(end_, now_ + usable_duration(length_))")
+flintweir_flaw(rates-not-allowed-for search two-hold src/leases/candidate.cpp
+  "sent_at_ + usable_duration(length_)" "sent_at_ + length_")
+flintweir_flaw(majority-of-answers search two-hold src/leases/candidate.cpp
   "> voters_;" "> static_cast<std::size_t>(std::popcount(yes_ | no_));")
 flintweir_flaw(token-starts-again search token-falls src/leases/voter.cpp
-  "      if (r.token <= e.promised) return reply(Say::later);" "")
-flintweir_flaw(act-not-measured search two-at-once src/leases/seeker.cpp
-  "most > end_ - now_" "most < Micros{0}")
+  "      if (r.token <= e.promised) return reply(ReplyKind::preempted);" "")
+flintweir_flaw(act-not-measured search two-at-once src/leases/candidate.cpp
+  "max_duration > end_ - now_" "max_duration < Micros{0}")
 flintweir_flaw(smaller-token-renews search two- src/leases/voter.cpp
   "if (r.token != e.promised || who != e.promised_to) return" "if (r.token > e.promised) return")
 flintweir_flaw(grant-not-kept search two- src/leases/voter.cpp
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -13,8 +13,8 @@
 
 #include "lab/leases/lease_rig.h"
 #include "lab/leases/lease_search.h"
+#include "leases/candidate.h"
 #include "leases/datagram.h"
-#include "leases/seeker.h"
 #include "leases/voter.h"
 #include "node/promise_folder.h"
 #include "setup/operator.h"
@@ -25,11 +25,11 @@
 using namespace std::chrono_literals;
 using namespace leases;
 
-struct Counting final : Hearer {
+struct Counting final : DatagramHandler {
   std::size_t items = 0;
-  void request_came(const Sender&, const Request&) override { ++items; }
-  void reply_came(const Sender&, const Reply&) override { ++items; }
-  void shown_came(const Sender&, const Shown&) override { ++items; }
+  void on_request(const Sender&, const Request&) override { ++items; }
+  void on_reply(const Sender&, const Reply&) override { ++items; }
+  void on_lease_status(const Sender&, const LeaseStatus&) override { ++items; }
 };
 
 // Each kind comes back as it was said; one byte changed, or a byte less, and nothing of it is heard.
@@ -37,19 +37,20 @@
   std::knuth_b chance(7);
   const Sender from{chance(), "n1/17", *address_of("127.0.0.1:7946")};
   for (int round = 0; round < 3000; ++round) {
-    const auto kind = static_cast<Writer::Kind>(1 + chance() % 3);
-    Writer w(kind, from);
-    if (kind == Writer::Kind::page) w.last(chance() % 2);
+    const auto kind = static_cast<DatagramWriter::Kind>(1 + chance() % 3);
+    DatagramWriter w(kind, from);
+    if (kind == DatagramWriter::Kind::status_page) w.set_last(chance() % 2);
     std::size_t items = chance() % 9, said = 0;
     for (; said < items; ++said) {
-      const bool fits = kind == Writer::Kind::requests
-                            ? w.add(Request{Ask::grant, "job", {chance()}, {chance()}, 2s})
-                        : kind == Writer::Kind::replies
-                            ? w.add(Reply{Say::held, "job", {chance()}, {chance()}, {chance()}, "n2/9", 1s})
-                            : w.add(Shown{"job", "n2/9", {chance()}, 1s, 3});
+      const bool fits =
+          kind == DatagramWriter::Kind::requests
+              ? w.add(Request{RequestKind::grant, "job", {chance()}, {chance()}, 2s})
+          : kind == DatagramWriter::Kind::replies
+              ? w.add(Reply{ReplyKind::held, "job", {chance()}, {chance()}, {chance()}, "n2/9", 1s})
+              : w.add(LeaseStatus{"job", "n2/9", {chance()}, 1s, 3});
       ASSERT_TRUE(fits);
     }
-    const std::string good(w.done());
+    const std::string good(w.finish());
     Counting heard, silent;
     ASSERT_TRUE(decode(good, heard));
     EXPECT_EQ(heard.items, said);
@@ -110,8 +111,8 @@
         disk.fails_at = fails_at, disk.dies = dies;
         Voter voter(2s, Token{10}, 0s, &folder);
         for (std::uint64_t t = 11; t < 14; ++t) {
-          if (voter.asked(3s, {Ask::promise, "job", Token{t}, Round{1}, 2s}, "a") &&
-              voter.asked(3s, {Ask::grant, "job", Token{t}, Round{1}, 2s}, "a"))
+          if (voter.handle(3s, {RequestKind::prepare, "job", Token{t}, Round{1}, 2s}, "a") &&
+              voter.handle(3s, {RequestKind::grant, "job", Token{t}, Round{1}, 2s}, "a"))
             answered = t;
         }
       }
@@ -120,26 +121,26 @@
       ASSERT_TRUE(again.kept());
       Voter voter(2s, Token{0}, 0s, &again, again.kept());
       // Whatever was granted still stands in the way of another, and tokens go on from there.
-      const auto reply = voter.asked(1ms, {Ask::promise, "job", Token{1000}, Round{1}, 2s}, "b");
+      const auto reply = voter.handle(1ms, {RequestKind::prepare, "job", Token{1000}, Round{1}, 2s}, "b");
       if (answered > 0) {
         ASSERT_TRUE(reply);
-        EXPECT_EQ(reply->say, Say::in_line) << fails_at << ' ' << dies;
-        EXPECT_GE(reply->highest.value, answered);
+        EXPECT_EQ(reply->kind, ReplyKind::queued) << fails_at << ' ' << dies;
+        EXPECT_GE(reply->highest_promised.value, answered);
       }
       EXPECT_THROW(node::PromiseFolder(disk, "n2"), std::runtime_error);
     }
   }
 }
 
-struct Asked final : Seeker::Outlet {
+struct Asked final : Candidate::Delegate {
   std::vector<Round> rounds;
   Token token;
   bool holds = false;
-  void ask(VoterNo, const Request& r) override { rounds.push_back(r.round), token = r.token; }
-  void wake(Micros, WakeId id) override { last = id; }
-  void held(Token) override { holds = true; }
-  void lost(Token, std::string_view) override { holds = false; }
-  void waits(std::string_view) override {}
+  void send_request(VoterIndex, const Request& r) override { rounds.push_back(r.round), token = r.token; }
+  void set_timer(Micros, WakeId id) override { last = id; }
+  void on_acquired(Token) override { holds = true; }
+  void on_lost(Token, std::string_view) override { holds = false; }
+  void on_waiting(std::string_view) override {}
   WakeId last;
 };
 
@@ -147,32 +148,32 @@
 // runs from the earlier. Guards as well against an act that does not fit into what is left.
 TEST(Holder, CountsOnlyAnswersToItsLastQuestion) {
   Asked asked;
-  Seeker seeker(asked, "job", 3, 10s, Token{1}, 3);
-  seeker.at(0s);
-  seeker.want();
-  const auto answer = [&](std::uint32_t voter, Say say, Round round) {
-    seeker.answered(VoterNo{voter}, {say, "job", asked.token, round, asked.token, {}, 0s});
+  Candidate seeker(asked, "job", 3, 10s, Token{1}, 3);
+  seeker.set_time(0s);
+  seeker.acquire();
+  const auto answer = [&](std::uint32_t voter, ReplyKind say, Round round) {
+    seeker.on_reply(VoterIndex{voter}, {say, "job", asked.token, round, asked.token, {}, 0s});
   };
-  for (const std::uint32_t v : {0u, 1u}) answer(v, Say::promised, asked.rounds.back());
-  answer(0, Say::granted, asked.rounds.back());
-  answer(0, Say::granted, asked.rounds.back());  // doubled: still one voter
+  for (const std::uint32_t v : {0u, 1u}) answer(v, ReplyKind::promised, asked.rounds.back());
+  answer(0, ReplyKind::granted, asked.rounds.back());
+  answer(0, ReplyKind::granted, asked.rounds.back());  // doubled: still one voter
   EXPECT_FALSE(asked.holds);
-  answer(1, Say::granted, asked.rounds.back());
+  answer(1, ReplyKind::granted, asked.rounds.back());
   ASSERT_TRUE(asked.holds);
-  EXPECT_EQ(seeker.left(), usable(10s));
-  EXPECT_TRUE(seeker.act(9s));
-  EXPECT_FALSE(seeker.act(usable(10s) + 1us));
-  seeker.at(4s);
-  seeker.woken(asked.last);
+  EXPECT_EQ(seeker.remaining(), usable_duration(10s));
+  EXPECT_TRUE(seeker.begin_operation(9s));
+  EXPECT_FALSE(seeker.begin_operation(usable_duration(10s) + 1us));
+  seeker.set_time(4s);
+  seeker.timer_expired(asked.last);
   const Round first = asked.rounds.back();
-  seeker.at(8s);
-  seeker.woken(asked.last);
+  seeker.set_time(8s);
+  seeker.timer_expired(asked.last);
   ASSERT_NE(asked.rounds.back(), first);
-  for (const std::uint32_t v : {0u, 1u}) answer(v, Say::granted, first);
-  EXPECT_EQ(seeker.left(), usable(10s) - 8s);
-  seeker.at(10s);
+  for (const std::uint32_t v : {0u, 1u}) answer(v, ReplyKind::granted, first);
+  EXPECT_EQ(seeker.remaining(), usable_duration(10s) - 8s);
+  seeker.set_time(10s);
   EXPECT_FALSE(asked.holds);
-  EXPECT_FALSE(seeker.act(1us));
+  EXPECT_FALSE(seeker.begin_operation(1us));
 }
 
 TEST(Search, FindsNoOrderInWhichTwoHold) {
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -21,52 +21,56 @@
 using namespace std::chrono_literals;
 
 // Counts what it hears, and takes in all of it.
-struct Counting final : members::Hearer {
+struct Counting final : members::DatagramHandler {
   std::size_t words = 0, calls = 0, bytes = 0;
-  void word_came(const members::From&, const members::Word& w) override {
+  void on_update(const members::Sender&, const members::MemberUpdate& w) override {
     ++words;
-    for (const std::string_view t : {w.name, w.zone, w.version, w.note, w.by}) bytes += t.size();
+    for (const std::string_view t : {w.name, w.zone, w.version, w.metadata, w.reported_by}) bytes += t.size();
   }
-  void ping_came(const members::From&, members::Nonce) override { ++calls; }
-  void ack_came(const members::From&, members::Nonce) override { ++calls; }
-  void nack_came(const members::From&, members::Nonce) override { ++calls; }
-  void ask_came(const members::From&, members::Nonce, std::string_view, const Address&) override { ++calls; }
-  void sync_came(const members::From&, bool, std::span<const std::uint64_t, members::kBuckets>) override {
+  void on_ping(const members::Sender&, members::Nonce) override { ++calls; }
+  void on_ack(const members::Sender&, members::Nonce) override { ++calls; }
+  void on_nack(const members::Sender&, members::Nonce) override { ++calls; }
+  void on_ping_request(const members::Sender&, members::Nonce, std::string_view, const Address&) override {
     ++calls;
   }
-  void claim_came(const members::From&, Micros) override { ++calls; }
-  void query_came(members::Nonce, std::string_view) override { ++calls; }
-  void page_came(const members::From&, members::Nonce, bool) override { ++calls; }
+  void on_sync_digest(const members::Sender&, bool,
+                      std::span<const std::uint64_t, members::kDigestBuckets>) override {
+    ++calls;
+  }
+  void on_name_claim(const members::Sender&, Micros) override { ++calls; }
+  void on_view_query(members::Nonce, std::string_view) override { ++calls; }
+  void on_view_page(const members::Sender&, members::Nonce, bool) override { ++calls; }
 };
 
-std::string datagram(members::Kind kind, std::knuth_b& chance) {
+std::string datagram(members::MessageKind kind, std::knuth_b& chance) {
   const Address at = *address_of("127.0.0.1:7946");
-  const members::From from{kind == members::Kind::query ? "" : "n1", members::Start{chance()}, at, chance(),
-                           3};
-  members::Writer w(kind, "lab", from, members::Nonce{chance()});
-  const std::array<std::uint64_t, members::kBuckets> digests{};
-  if (kind == members::Kind::ask) w.ask("n2", at);
-  if (kind == members::Kind::sync) w.sync(false, digests);
-  if (kind == members::Kind::claim) w.claim(5s);
-  if (kind == members::Kind::query) w.query("n2");
-  if (kind == members::Kind::page) w.page(true);
+  const members::Sender from{kind == members::MessageKind::view_query ? "" : "n1",
+                             members::Generation{chance()}, at, chance(), 3};
+  members::DatagramWriter w(kind, "lab", from, members::Nonce{chance()});
+  const std::array<std::uint64_t, members::kDigestBuckets> digests{};
+  if (kind == members::MessageKind::ping_request) w.ping_request("n2", at);
+  if (kind == members::MessageKind::sync_digest) w.sync_digest(false, digests);
+  if (kind == members::MessageKind::name_claim) w.name_claim(5s);
+  if (kind == members::MessageKind::view_query) w.view_query("n2");
+  if (kind == members::MessageKind::view_page) w.view_page(true);
   for (std::size_t i = chance() % 12; i > 0; --i)
-    w.add({"n3", members::Start{chance()}, 1, members::Standing::suspected, at, "east", "1.0", "note", "n4"});
-  return std::string(w.done());
+    w.add({"n3", members::Generation{chance()}, 1, members::MemberState::suspected, at, "east", "1.0", "note",
+           "n4"});
+  return std::string(w.finish());
 }
 
 // Each kind comes back as it was said; one byte changed anywhere, or a byte less, and nothing of it is heard.
 TEST(Datagrams, AreHeardWholeOrNotAtAll) {
   std::knuth_b chance(7);
   for (int round = 0; round < 2000; ++round) {
-    const auto kind = static_cast<members::Kind>(1 + chance() % 9);
+    const auto kind = static_cast<members::MessageKind>(1 + chance() % 9);
     const std::string good = datagram(kind, chance);
-    ASSERT_LE(good.size(), members::kLongestDatagram);
+    ASSERT_LE(good.size(), members::kMaxDatagramBytes);
     Counting heard;
-    ASSERT_EQ(decode(good, "lab", heard), members::Wrong::none);
-    EXPECT_EQ(heard.calls, kind == members::Kind::gossip ? 0u : 1u);
-    if (kind != members::Kind::query) {
-      EXPECT_EQ(decode(good, "other", heard), members::Wrong::fleet);
+    ASSERT_EQ(decode(good, "lab", heard), members::DecodeError::none);
+    EXPECT_EQ(heard.calls, kind == members::MessageKind::gossip ? 0u : 1u);
+    if (kind != members::MessageKind::view_query) {
+      EXPECT_EQ(decode(good, "other", heard), members::DecodeError::fleet);
     }
     std::string bad = good;
     if (chance() % 2)
@@ -74,7 +78,7 @@
     else
       bad[chance() % bad.size()] ^= static_cast<char>(1 + chance() % 255);
     Counting silent;
-    EXPECT_NE(decode(bad, "lab", silent), members::Wrong::none);
+    EXPECT_NE(decode(bad, "lab", silent), members::DecodeError::none);
     EXPECT_EQ(silent.calls + silent.words, 0u);
   }
 }
@@ -85,13 +89,13 @@
   std::knuth_b chance(11);
   std::size_t heard_some = 0;
   for (int round = 0; round < 40000; ++round) {
-    std::string bytes = datagram(static_cast<members::Kind>(1 + chance() % 9), chance);
+    std::string bytes = datagram(static_cast<members::MessageKind>(1 + chance() % 9), chance);
     for (std::size_t n = chance() % 4; n > 0; --n)
       bytes[12 + chance() % (bytes.size() - 12)] = static_cast<char>(chance());
     if (chance() % 4 == 0) bytes.resize(12 + chance() % (bytes.size() - 12));
-    members::seal(bytes);
+    members::write_checksum(bytes);
     Counting heard;
-    heard_some += decode(bytes, "lab", heard) == members::Wrong::none;
+    heard_some += decode(bytes, "lab", heard) == members::DecodeError::none;
     EXPECT_LE(heard.words, 64u);
     EXPECT_LE(heard.bytes, heard.words * 400);
   }
