--- a/src/line/open_ids.h
+++ b/src/line/connection_ids.h
@@ -13,7 +13,7 @@
 
 namespace flintweir::line {
 
-using GivenId = Id<struct GivenIdTag, std::uint64_t>;  // as a client's first line says
+using ConnectionId = Id<struct ConnectionIdTag, std::uint64_t>;  // as a client's first line says
 
 // An id as its client wrote it, for log lines: "-" where none came, cut where it is longer than ids are.
 class LoggedId {
@@ -32,11 +32,11 @@
 
 // Ids are new with every connection. Guards against one that comes again, while its connection lasts or
 // after: hosts answer that with an error for which they are not to blame.
-class OpenIds {
+class ConnectionIds {
  public:
-  explicit OpenIds(std::size_t kept) : kept_(kept) { ids_.reserve(2 * kept); }
+  explicit ConnectionIds(std::size_t kept) : kept_(kept) { ids_.reserve(2 * kept); }
 
-  bool claim(GivenId id) {  // false: it is in use, or was lately
+  bool claim(ConnectionId id) {  // false: it is in use, or was lately
     if (spare_.empty()) return ids_.insert(id).second;
     Set::node_type& place = spare_.back();
     place.value() = id;
@@ -48,7 +48,7 @@
     return true;
   }
   // Its connection is over: it is forgotten when so many others are over as well.
-  void retire(GivenId id) {
+  void retire(ConnectionId id) {
     if (retired_.size() < kept_) return retired_.push_back(id);
     if (auto place = ids_.extract(std::exchange(retired_[next_++ % kept_], id)); !place.empty())
       spare_.push_back(std::move(place));
@@ -56,13 +56,13 @@
 
  private:
   struct Hash {
-    std::size_t operator()(GivenId id) const { return id.value; }
+    std::size_t operator()(ConnectionId id) const { return id.value; }
   };
-  using Set = std::unordered_set<GivenId, Hash>;
+  using Set = std::unordered_set<ConnectionId, Hash>;
   std::size_t kept_, next_ = 0;
   Set ids_;
   std::vector<Set::node_type> spare_;
-  std::vector<GivenId> retired_;
+  std::vector<ConnectionId> retired_;
 };
 
 }  // namespace flintweir::line
--- a/src/line/host_conn.cpp
+++ b/src/line/host_conn.cpp
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-#include "line/heads.h"
+#include "line/protocol.h"
 
 namespace flintweir::line {
 
@@ -84,14 +84,14 @@
     return stream_.want_read();
   }
   std::string_view rest;
-  switch (said(without_end(*line), rest)) {
-    case Says::up:
+  switch (parse_host_message(without_end(*line), rest)) {
+    case HostMessage::up:
       return owner_.host_accepted();
-    case Says::bye:
+    case HostMessage::bye:
       return end(Ending::finished);
-    case Says::move:
+    case HostMessage::move:
       return end(Ending::cancelled);
-    case Says::busy:
+    case HostMessage::busy:
       return end(Ending::turned_away);
     default:
       return end(Ending::erred);
--- a/src/line/hosts.h
+++ b/src/line/host_table.h
@@ -10,7 +10,7 @@
 
 namespace flintweir::line {
 
-class Hosts {
+class HostTable {
  public:
   struct Host {
     std::string name;
@@ -27,7 +27,7 @@
     const Host* h = find(id);
     return h ? h->name.c_str() : "-";
   }
-  void listed(HostId id, std::string_view name, const Address& at) {
+  void update(HostId id, std::string_view name, const Address& at) {
     Host& host = hosts_[id.value];
     if (host.name != name) host.name = name;
     host.at = at;
--- a/src/line/probes.cpp
+++ b/src/line/probes.cpp
@@ -1,6 +1,6 @@
 #include "line/probes.h"
 
-#include "line/heads.h"
+#include "line/protocol.h"
 
 namespace flintweir::line {
 namespace {
@@ -86,8 +86,8 @@
     return stream_.want_read();
   }
   std::string_view rest;
-  const bool pong = said(without_end(*line), rest) == Says::pong;
-  const LoadReport report = pong ? load_report(rest) : LoadReport{};
+  const bool pong = parse_host_message(without_end(*line), rest) == HostMessage::pong;
+  const LoadReport report = pong ? parse_load_report(rest) : LoadReport{};
   stream_.in().drop(line->size());
   if (!pong || stream_.at_end() || probes_.wakes_.now() < keeps_from_) stream_.close();
   // What nobody asked for is no answer to the next question.
--- a/src/line/probes.h
+++ b/src/line/probes.h
@@ -4,7 +4,7 @@
 #include <unordered_map>
 
 #include "balance.h"
-#include "line/hosts.h"
+#include "line/host_table.h"
 #include "net/stream.h"
 #include "net/wakes.h"
 #include "slab.h"
--- a/src/line/heads.cpp
+++ b/src/line/protocol.cpp
@@ -1,4 +1,4 @@
-#include "line/heads.h"
+#include "line/protocol.h"
 
 #include <algorithm>
 #include <array>
@@ -44,13 +44,13 @@
 }
 
 // Whatever a host might not read is turned away here: passed on, it would cost that host's good name.
-bool HeadReader::open(std::string_view line, Micros now, Taken& taken, GivenId& given, std::string_view& at,
-                      std::string_view& time_left) const {
+bool OpenLineParser::parse(std::string_view line, Micros now, Taken& taken, ConnectionId& given,
+                           std::string_view& at, std::string_view& time_left) const {
   constexpr double kMost = 1e9;
   if (!printable(line) || cut(line, ' ') != "OPEN") return false;
   const std::string_view id = cut(line, ' '), key = cut(line, ' ');
   if (!is_word(id) || !is_word(key) || line.find(' ') != line.npos || line.ends_with(',')) return false;
-  given = GivenId{setup::id_of(id)};
+  given = ConnectionId{setup::id_of(id)};
   taken.client = ClientKey{setup::key_of(key)};
   unsigned seen = 0;
   const auto once = [&](unsigned bit) { return !(std::exchange(seen, seen | bit) & bit); };
@@ -101,23 +101,23 @@
   return true;
 }
 
-Says said(std::string_view line, std::string_view& rest) {
+HostMessage parse_host_message(std::string_view line, std::string_view& rest) {
   rest = line;
   const std::string_view word = cut(rest, ' ');
-  constexpr std::array<std::pair<std::string_view, Says>, 7> words{{{"UP", Says::up},
-                                                                    {"BYE", Says::bye},
-                                                                    {"MOVE", Says::move},
-                                                                    {"ERR", Says::err},
-                                                                    {"BUSY", Says::busy},
-                                                                    {"LOAD", Says::load},
-                                                                    {"PONG", Says::pong}}};
+  constexpr std::array<std::pair<std::string_view, HostMessage>, 7> words{{{"UP", HostMessage::up},
+                                                                           {"BYE", HostMessage::bye},
+                                                                           {"MOVE", HostMessage::move},
+                                                                           {"ERR", HostMessage::err},
+                                                                           {"BUSY", HostMessage::busy},
+                                                                           {"LOAD", HostMessage::load},
+                                                                           {"PONG", HostMessage::pong}}};
   for (const auto& [text, says] : words) {
     if (word == text) return says;
   }
-  return Says::other;
+  return HostMessage::other;
 }
 
-LoadReport load_report(std::string_view text) {
+LoadReport parse_load_report(std::string_view text) {
   LoadReport report;
   while (!text.empty()) {
     std::string_view value = cut(text, ',');
--- a/src/line/heads.h
+++ b/src/line/protocol.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "balance.h"
-#include "line/open_ids.h"
+#include "line/connection_ids.h"
 
 namespace flintweir::line {
 
@@ -15,16 +15,16 @@
 std::string_view id_word(std::string_view line);
 
 // What the settings say about a first line.
-class HeadReader {
+class OpenLineParser {
  public:
-  HeadReader(std::vector<std::string> listeners, std::vector<Micros> dial_timeouts, bool groups)
+  OpenLineParser(std::vector<std::string> listeners, std::vector<Micros> dial_timeouts, bool groups)
       : listeners_(std::move(listeners)), dial_timeouts_(std::move(dial_timeouts)), groups_(groups) {}
 
   // Decodes `line` (without its end) into `taken` and `id`; `at` is the host that holds the connection
   // already, if any, and `time_left` the digits within the line that tell how long the client waits. False:
   // malformed, as a host would find it.
-  bool open(std::string_view line, Micros now, Taken& taken, GivenId& id, std::string_view& at,
-            std::string_view& time_left) const;
+  bool parse(std::string_view line, Micros now, Taken& taken, ConnectionId& id, std::string_view& at,
+             std::string_view& time_left) const;
 
  private:
   std::vector<std::string> listeners_;
@@ -33,12 +33,12 @@
 };
 
 // What a host says: the first word of a line, and what follows it.
-enum class Says { up, bye, move, err, busy, load, pong, other };
-Says said(std::string_view line, std::string_view& rest);
+enum class HostMessage { up, bye, move, err, busy, load, pong, other };
+HostMessage parse_host_message(std::string_view line, std::string_view& rest);
 
 std::optional<double> number(std::string_view text);
 
 // Reads `name=value,name=value` as a load report.
-LoadReport load_report(std::string_view text);
+LoadReport parse_load_report(std::string_view text);
 
 }  // namespace flintweir::line
--- a/src/line/link.cpp
+++ b/src/line/proxy_session.cpp
@@ -1,4 +1,4 @@
-#include "line/link.h"
+#include "line/proxy_session.h"
 
 #include <algorithm>
 
@@ -15,13 +15,13 @@
 
 }  // namespace
 
-Link::Link(Sessions& s)
+ProxySession::ProxySession(Sessions& s)
     : sessions_(s),
       client_(s.sockets_, s.wakes_, s.idle_, s.patience_.first_line, *this),
       host_(s.sockets_, s.wakes_, s.patience_.connect, *this),
       relay_(s.wakes_, *this) {}
 
-void Link::begin(SlabKey key, SocketKey socket) {
+void ProxySession::begin(SlabKey key, SocketKey socket) {
   key_ = key;
   handle_ = Sess();
   taken_ = Taken{};
@@ -34,14 +34,14 @@
   client_.begin(socket);
 }
 
-bool Link::taking() const { return !sessions_.leaving_; }
+bool ProxySession::taking() const { return !sessions_.leaving_; }
 
-void Link::head_came(std::string_view line) {
+void ProxySession::head_came(std::string_view line) {
   began_ = sessions_.wakes_.now();
   logged_id_ = LoggedId(id_word(line));
   std::string_view at;
-  GivenId id;
-  if (!sessions_.heads_.open(line, began_, taken_, id, at, time_left_))
+  ConnectionId id;
+  if (!sessions_.heads_.parse(line, began_, taken_, id, at, time_left_))
     return answer("ERR\r\n", Reason::bad_line);
   // Refused before the module hears of it: nothing has been dialled.
   if (sessions_.leaving_) {
@@ -61,12 +61,12 @@
   if (!answered_) handle_ = handle;
 }
 
-void Link::dial(HostId host, Micros within) {
+void ProxySession::dial(HostId host, Micros within) {
   at_ = host;
   ++dials_;
   const Micros left = taken_.valid_until - sessions_.wakes_.now();
   const Micros limit = within > 0us ? std::min(within, left) : left;
-  const Hosts::Host* h = sessions_.hosts_.find(host);
+  const HostTable::Host* h = sessions_.hosts_.find(host);
   if (dials_ > 1)
     log_line("retry id=%s host=%s dials=%u", logged_id_.text(), sessions_.hosts_.name(host), dials_);
   if (!h || !sessions_.has_room()) return host_.fail();
@@ -74,21 +74,21 @@
 }
 
 // A connection that was open before this node's: only its holder can go on with it.
-void Link::dial_holder() {
+void ProxySession::dial_holder() {
   if (!answered_) dial(at_, 0us);
 }
 
-void Link::answer(std::string_view line, Reason reason, std::optional<Refusal> refusal) {
+void ProxySession::answer(std::string_view line, Reason reason, std::optional<Refusal> refusal) {
   answered_ = true;
   log_end(code_of(reason), refusal);
   client_.answer(line);
 }
 
-void Link::move(Reason why) {
+void ProxySession::move(Reason why) {
   if (open_) relay_.move(why);
 }
 
-void Link::client_left() {
+void ProxySession::client_left() {
   if (answered_) return;
   ++sessions_.clients_gone_;
   const bool dialling = host_.out();
@@ -102,25 +102,25 @@
   answer("ERR\r\n", Reason::left);
 }
 
-void Link::client_failed(Reason reason) {
+void ProxySession::client_failed(Reason reason) {
   answered_ = true;
   log_end(code_of(reason));
 }
 
-void Link::client_closed() { free(); }
+void ProxySession::client_closed() { free(); }
 
-void Link::free() {
+void ProxySession::free() {
   if (id_) sessions_.ids_.retire(*std::exchange(id_, std::nullopt));
   sessions_.free(key_);
 }
 
-bool Link::client_waits() {
+bool ProxySession::client_waits() {
   if (client_.still_waits()) return true;
   ++sessions_.dials_not_begun_;
   return false;
 }
 
-bool Link::still_wanted() {
+bool ProxySession::still_wanted() {
   if (!client_waits()) return false;
   if (inherited_ || sessions_.balancer_now().may_send(at_)) return true;
   host_.give_up();
@@ -128,7 +128,7 @@
   return false;
 }
 
-void Link::host_accepted() {
+void ProxySession::host_accepted() {
   open_ = answered_ = true;
   Balancer& balancer = sessions_.balancer_now();
   if (inherited_)
@@ -140,7 +140,7 @@
   if (sessions_.leaving_ && sessions_.wakes_.now() >= sessions_.move_from_) move(Reason::restarting);
 }
 
-void Link::dial_ended(Ending how) {
+void ProxySession::dial_ended(Ending how) {
   log_end(code_of(how));
   if (how == Ending::turned_away || how == Ending::unconnected) sessions_.probes_.give_way(at_);
   if (!inherited_) {
@@ -153,27 +153,27 @@
   sessions_.again(key_, kHolderAgain);
 }
 
-void Link::load_is(double micros_per_s) {
+void ProxySession::load_is(double micros_per_s) {
   sessions_.balancer_now();
   handle_.load_is(micros_per_s);
 }
 
-void Link::message_took(Micros delay) {
+void ProxySession::message_took(Micros delay) {
   if (!sessions_.delay_counts(at_, delay)) return;
   sessions_.balancer_now();
   handle_.messages_take(delay);
 }
 
-void Link::relay_over(Ending how, Reason why) {
+void ProxySession::relay_over(Ending how, Reason why) {
   open_ = false;
   log_end(code_of(why));
   sessions_.balancer_now();
   handle_.ended(dial_no(), how, true);
 }
 
-void Link::relay_closed() { free(); }
+void ProxySession::relay_closed() { free(); }
 
-void Link::log_end(const char* code, std::optional<Refusal> refusal) {
+void ProxySession::log_end(const char* code, std::optional<Refusal> refusal) {
   const auto ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(sessions_.wakes_.now() - began_).count();
   log_line("end %s id=%s client=%016llx host=%s listener=%u dials=%u ms=%lld%s%s", code, logged_id_.text(),
--- a/src/line/link.h
+++ b/src/line/proxy_session.h
@@ -3,8 +3,8 @@
 
 #include "balance.h"
 #include "line/client_conn.h"
+#include "line/connection_ids.h"
 #include "line/host_conn.h"
-#include "line/open_ids.h"
 #include "line/relay.h"
 
 namespace flintweir::line {
@@ -13,9 +13,9 @@
 
 class Sessions;
 
-class Link final : ClientOwner, HostOwner, RelayOwner {
+class ProxySession final : ClientOwner, HostOwner, RelayOwner {
  public:
-  explicit Link(Sessions& sessions);
+  explicit ProxySession(Sessions& sessions);
 
   void begin(SlabKey key, SocketKey socket);
   // What the module does.
@@ -51,7 +51,7 @@
   Relay relay_;
   SlabKey key_;
   Sess handle_;
-  std::optional<GivenId> id_;  // while it is claimed
+  std::optional<ConnectionId> id_;  // while it is claimed
   LoggedId logged_id_;
   Taken taken_{};
   std::string_view time_left_;
--- a/src/line/relay.cpp
+++ b/src/line/relay.cpp
@@ -1,7 +1,7 @@
 #include "line/relay.h"
 
 #include "line/client_conn.h"
-#include "line/heads.h"
+#include "line/protocol.h"
 
 namespace flintweir::line {
 namespace {
@@ -70,12 +70,12 @@
   while (const auto line = host_->in().line(seen_)) {
     seen_ += line->size();
     std::string_view rest;
-    const Says says = said(without_end(*line), rest);
-    bye_ = says == Says::bye;
-    sent_away_ = sent_away_ || says == Says::move;
-    if (says == Says::load) {
+    const HostMessage says = parse_host_message(without_end(*line), rest);
+    bye_ = says == HostMessage::bye;
+    sent_away_ = sent_away_ || says == HostMessage::move;
+    if (says == HostMessage::load) {
       if (const auto load = number(rest); load && *load >= 0) owner_.load_is(*load);
-    } else if (says != Says::up && asked_at_ != Micros{0}) {
+    } else if (says != HostMessage::up && asked_at_ != Micros{0}) {
       owner_.message_took(wakes_.now() - std::exchange(asked_at_, Micros{0}));
     }
   }
--- a/src/line/sessions.cpp
+++ b/src/line/sessions.cpp
@@ -8,8 +8,8 @@
 
 using namespace std::chrono_literals;
 
-Sessions::Sessions(Sockets& sockets, Wakes& wakes, Hosts& hosts, Patience patience, Micros message_target,
-                   HeadReader heads, std::size_t most, std::size_t most_idle, Told& told)
+Sessions::Sessions(Sockets& sockets, Wakes& wakes, HostTable& hosts, Timeouts patience, Micros message_target,
+                   OpenLineParser heads, std::size_t most, std::size_t most_idle, Events& told)
     : sockets_(sockets),
       wakes_(wakes),
       hosts_(hosts),
@@ -26,7 +26,7 @@
   return *balancer_;
 }
 
-void Sessions::take(SocketKey socket) {
+void Sessions::add_client(SocketKey socket) {
   const SlabKey key = links_.lend(*this);
   ++count_;
   links_.find(key)->begin(key, socket);
@@ -38,14 +38,14 @@
 }
 
 void Sessions::dial(SessId sess, HostId host, Micros limit) {
-  if (Link* link = find(sess)) link->dial(host, limit);
+  if (ProxySession* link = find(sess)) link->dial(host, limit);
 }
 
 void Sessions::refuse(SessId sess, Micros stay_away, Refusal why) {
-  if (Link* link = find(sess)) busy(*link, stay_away, Reason::refused, why);
+  if (ProxySession* link = find(sess)) busy(*link, stay_away, Reason::refused, why);
 }
 
-void Sessions::busy(Link& link, Micros stay_away, Reason why, std::optional<Refusal> refusal) {
+void Sessions::busy(ProxySession& link, Micros stay_away, Reason why, std::optional<Refusal> refusal) {
   char line[40] = "BUSY\r\n";
   const long long ms = std::chrono::ceil<std::chrono::milliseconds>(stay_away).count();
   if (ms > 0) std::snprintf(line, sizeof line, "BUSY %lld\r\n", ms);
@@ -53,15 +53,15 @@
 }
 
 void Sessions::tear_down(SessId sess, Refusal why) {
-  if (Link* link = find(sess)) link->answer("ERR\r\n", Reason::torn_down, why);
+  if (ProxySession* link = find(sess)) link->answer("ERR\r\n", Reason::torn_down, why);
 }
 
 void Sessions::move(SessId sess) {
-  if (Link* link = find(sess)) link->move(Reason::moved);
+  if (ProxySession* link = find(sess)) link->move(Reason::moved);
 }
 
 void Sessions::probe(HostId host) {
-  const Hosts::Host* h = hosts_.find(host);
+  const HostTable::Host* h = hosts_.find(host);
   probes_.ask(host, h && sockets_.room(kSpare / 2) ? &h->at : nullptr);
 }
 
@@ -84,13 +84,13 @@
 }
 
 void Sessions::dial_again(std::uint64_t key) {
-  if (Link* link = links_.find(SlabKey::unpacked(key))) link->dial_holder();
+  if (ProxySession* link = links_.find(SlabKey::unpacked(key))) link->dial_holder();
 }
 
 // A delay is told while it is over a third of what messages may take, once a second for each host, and once
 // more when it is back under.
 bool Sessions::delay_counts(HostId host, Micros delay) {
-  Hosts::Host* h = hosts_.find(host);
+  HostTable::Host* h = hosts_.find(host);
   if (!h || message_target_ == 0us) return false;
   const bool late = delay > message_target_ / 3;
   if (!late) return std::exchange(h->late, false);
@@ -101,7 +101,7 @@
   return true;
 }
 
-void Sessions::leave(Micros over) {
+void Sessions::shut_down(Micros over) {
   leaving_ = true;
   // Guards against clients that are told to come again while fronts still send them here, to be refused.
   move_from_ = wakes_.now() + kFrontNotices;
@@ -112,8 +112,8 @@
 // Guards against all clients of a node coming back in the same moment: that is a storm for the others.
 void Sessions::move_next(std::uint64_t) {
   std::size_t open = 0;
-  Link* next = nullptr;
-  links_.each([&](SlabKey, Link& link) {
+  ProxySession* next = nullptr;
+  links_.each([&](SlabKey, ProxySession& link) {
     if (!link.movable()) return;
     ++open;
     if (!next) next = &link;
--- a/src/line/sessions.h
+++ b/src/line/sessions.h
@@ -3,40 +3,40 @@
 #pragma once
 
 #include "balance.h"
-#include "line/heads.h"
-#include "line/hosts.h"
-#include "line/link.h"
+#include "line/host_table.h"
 #include "line/probes.h"
+#include "line/protocol.h"
+#include "line/proxy_session.h"
 #include "slab.h"
 
 namespace flintweir::line {
 
 // How long things may take on this deployment's network.
-struct Patience {
+struct Timeouts {
   Micros connect, first_line, probe;
   Micros longest_stay_away;  // zero where clients cannot be told when to come back
 };
 
 class Sessions final : public Outlet, Probes::Told {
  public:
-  class Told {
+  class Events {
    public:
-    virtual void watch_list() = 0;
+    virtual void watch_host_list() = 0;
 
    protected:
-    ~Told() = default;
+    ~Events() = default;
   };
   // `message_target` is zero where delays of messages are not the module's to know.
-  Sessions(Sockets& sockets, Wakes& wakes, Hosts& hosts, Patience patience, Micros message_target,
-           HeadReader heads, std::size_t most, std::size_t most_idle, Told& told);
+  Sessions(Sockets& sockets, Wakes& wakes, HostTable& hosts, Timeouts patience, Micros message_target,
+           OpenLineParser heads, std::size_t most, std::size_t most_idle, Events& told);
 
-  void serve(std::unique_ptr<Balancer> balancer) { balancer_ = std::move(balancer); }
+  void set_balancer(std::unique_ptr<Balancer> balancer) { balancer_ = std::move(balancer); }
   Balancer& balancer_now();  // with the time said
-  void take(SocketKey socket);
+  void add_client(SocketKey socket);
   // Ends a connection that asks for nothing, for one that may; false: there is none.
-  bool make_room() { return idle_.evict_oldest(); }
+  bool evict_idle_client() { return idle_.evict_oldest(); }
   // From now on nothing new is taken; once fronts have noticed, open sessions are moved, evenly over so long.
-  void leave(Micros over);
+  void shut_down(Micros over);
 
   // Since the start: clients that went before their answer, and dials that were under way and did not begin
   // as the client was found gone at the last look.
@@ -49,13 +49,13 @@
   void move(SessId sess) override;
   void probe(HostId host) override;
   void wake(Micros in, WakeId wake) override { wakes_.after(in, module_wakes_, wake.value); }
-  void watch() override { told_.watch_list(); }
+  void watch() override { told_.watch_host_list(); }
   void forget(HostId host) override;
   void log(std::string_view line) override;
   void log(std::string_view line, HostId host) override;
 
  private:
-  friend class Link;
+  friend class ProxySession;
   struct Waker final : Woken {
     Waker(Sessions& s, void (Sessions::*c)(std::uint64_t)) : sessions(s), call(c) {}
     void woken(std::uint64_t token) override { (sessions.*call)(token); }
@@ -67,8 +67,8 @@
   void dial_again(std::uint64_t key);
   void move_next(std::uint64_t);
 
-  void busy(Link& link, Micros stay_away, Reason why, std::optional<Refusal> refusal = {});
-  Link* find(SessId sess) { return links_.find(SlabKey::unpacked(sess.value)); }
+  void busy(ProxySession& link, Micros stay_away, Reason why, std::optional<Refusal> refusal = {});
+  ProxySession* find(SessId sess) { return links_.find(SlabKey::unpacked(sess.value)); }
   bool has_room() const { return count_ <= most_ && sockets_.room(kSpare); }
   void again(SlabKey key, Micros in) { wakes_.after(in, dial_again_, key.packed()); }
   bool delay_counts(HostId host, Micros delay);
@@ -81,18 +81,18 @@
 
   Sockets& sockets_;
   Wakes& wakes_;
-  Hosts& hosts_;
-  Patience patience_;
+  HostTable& hosts_;
+  Timeouts patience_;
   Micros message_target_;
-  HeadReader heads_;
+  OpenLineParser heads_;
   std::size_t most_, count_ = 0;
   IdleClients idle_;  // outlives the connections in it
-  OpenIds ids_{kIdsKept};
-  Told& told_;
+  ConnectionIds ids_{kIdsKept};
+  Events& told_;
   Probes probes_;
   Waker module_wakes_{*this, &Sessions::wake_module}, dial_again_{*this, &Sessions::dial_again},
       move_next_{*this, &Sessions::move_next};
-  Slab<Link> links_;
+  Slab<ProxySession> links_;
   std::unique_ptr<Balancer> balancer_;
   bool leaving_ = false;
   std::uint64_t clients_gone_ = 0, dials_not_begun_ = 0;
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -196,7 +196,7 @@
   each_target(targets, [&](HostId id, std::string_view name, const Address& at, ZoneId zone, CellId cell,
                            Standing standing, double share, Micros started) {
     balancer.listed(id, zone, cell, standing, share, started);
-    if (standing != Standing::gone) hosts_.listed(id, name, at);
+    if (standing != Standing::gone) hosts_.update(id, name, at);
   });
   balancer.list_ends();
   version_ = version;
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -6,7 +6,7 @@
 #include <random>
 
 #include "balance.h"
-#include "line/hosts.h"
+#include "line/host_table.h"
 #include "net/http_get.h"
 #include "node/staleness_clock.h"
 
@@ -25,8 +25,9 @@
    protected:
     ~Told() = default;
   };
-  Discovery(Sockets& sockets, Wakes& wakes, const Address& at, std::vector<std::string> zones, Hosts& hosts,
-            std::optional<Micros> agent_again, Micros outage, std::uint64_t seed, Told& told)
+  Discovery(Sockets& sockets, Wakes& wakes, const Address& at, std::vector<std::string> zones,
+            HostTable& hosts, std::optional<Micros> agent_again, Micros outage, std::uint64_t seed,
+            Told& told)
       : get_(sockets, wakes, at, *this),
         zones_(std::move(zones)),
         hosts_(hosts),
@@ -62,7 +63,7 @@
 
   HttpGet get_;
   std::vector<std::string> zones_;
-  Hosts& hosts_;
+  HostTable& hosts_;
   // Where lists are pushed, an agent at this node has them: it is asked again after so long, not the module's
   // pause, as whatever it has counts as told.
   std::optional<Micros> agent_again_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -41,12 +41,12 @@
   return shortest_message_target(setup::listeners(settings));
 }
 
-HeadReader head_reader(const setup::Values& settings) {
+OpenLineParser open_line_parser(const setup::Values& settings) {
   const bool groups = settings.has("familyInfo") && setup::Values(settings, "familyInfo").yes("groups");
   return {setup::names(settings, "listeners"), listener_times(settings, "dialTimeout"), groups};
 }
 
-Patience patience(const setup::Values& settings) {
+Timeouts timeouts(const setup::Values& settings) {
   const std::vector<Micros> targets = listener_times(settings, "handshakeTarget");
   const Micros target = *std::min_element(targets.begin(), targets.end());
   return {setup::Values(settings, "ceilings").time("connectTimeout", target / 4),
@@ -79,7 +79,7 @@
 // Half of the memory for sessions; each takes its place in the table and what the kernel keeps for two
 // sockets.
 std::size_t most_sessions(const NodeFile& file) {
-  constexpr std::size_t kEach = sizeof(Link) + (64u << 10);
+  constexpr std::size_t kEach = sizeof(ProxySession) + (64u << 10);
   return std::max<std::size_t>((file.memory_mb() << 20) / 2 / kEach, 1);
 }
 
@@ -91,15 +91,16 @@
       sockets_(network, socket_limit(file)),
       longest_dial_(longest(listener_times(file.settings(), "dialTimeout"))),
       pushed_(pushed(file.settings())),
-      sessions_(sockets_, wakes_, hosts_, patience(file.settings()), message_target(file.settings()),
-                head_reader(file.settings()), most_sessions(file), socket_limit(file) / kIdleShare, *this),
+      sessions_(sockets_, wakes_, hosts_, timeouts(file.settings()), message_target(file.settings()),
+                open_line_parser(file.settings()), most_sessions(file), socket_limit(file) / kIdleShare,
+                *this),
       discovery_(sockets_, wakes_, file.discovery(), setup::names(file.settings(), "failureDomains"), hosts_,
                  agent_again(file.settings()), outage_threshold(file.settings()), file.seed(), *this),
       own_(setup::running_of(file.settings())),
       listener_names_(setup::names(file.settings(), "listeners")),
       own_discovery_(file.discovery()),
       discovery_at_(own_discovery_) {
-  sessions_.serve(make(file.settings(), sessions_, file.seed()));
+  sessions_.set_balancer(make(file.settings(), sessions_, file.seed()));
   if (const auto known = file.known(); known && !discovery_.take(*known)) {
     setup::bad("configuration: known is not a list of hosts");
   }
@@ -179,7 +180,7 @@
 
 bool Node::accept() {
   for (int i = 0; i < kAcceptsInARow; ++i) {
-    const bool room = sockets_.room(1) || sessions_.make_room();
+    const bool room = sockets_.room(1) || sessions_.evict_idle_client();
     const Accepted next = room ? network_.accept() : Accepted{{}, Io::broken, "too many open sockets"};
     if (next.how == Io::later) return network_.wait_accept(*this), false;
     if (next.how == Io::ended) continue;
@@ -188,7 +189,7 @@
       log_line("accept: %s", next.why);
       return wakes_.after(10ms, *this, accept_again), false;
     }
-    sessions_.take(next.socket);
+    sessions_.add_client(next.socket);
   }
   network_.wait_accept(*this);
   return true;
@@ -211,7 +212,7 @@
   open();
   log_line("leaving: moving all sessions");
   if (peers_) peers_->leave();
-  sessions_.leave(longest_dial_ / 2);
+  sessions_.shut_down(longest_dial_ / 2);
   wakes_.after(longest_dial_ + kKilled - kEndsBefore, *this, left);
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -18,7 +18,7 @@
 using MakeBalancer = std::function<std::unique_ptr<Balancer>(const setup::Values& settings, Outlet& outlet,
                                                              std::uint64_t seed)>;
 
-class Node final : Sessions::Told, Discovery::Told, Woken, AcceptEvents {
+class Node final : Sessions::Events, Discovery::Told, Woken, AcceptEvents {
  public:
   // Reads all of the file and makes the parts, but serves nobody. Throws setup::BadInput.
   Node(Network& network, const NodeFile& file, MakeBalancer make = setup::balancer_for);
@@ -35,7 +35,7 @@
 
  private:
   enum Due : std::uint64_t { accept_again, take_clients, left };
-  void watch_list() override { discovery_.watch(); }
+  void watch_host_list() override { discovery_.watch(); }
   Balancer& balancer_now() override { return sessions_.balancer_now(); }
   void woken(std::uint64_t due) override;
   void connection_waits() override { accept(); }
@@ -50,7 +50,7 @@
   Address listen_;
   Sockets sockets_;
   Wakes wakes_{network_};
-  Hosts hosts_;
+  HostTable hosts_;
   Micros longest_dial_;
   bool pushed_, open_ = false, leaving_ = false;  // pushed: an agent at this node has the list
   Sessions sessions_;
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -65,7 +65,7 @@
     seen_ -= std::min(seen_, *n);" "    const std::size_t gone = *n < whole ? *n + 1 : *n;
     bytes.drop(gone);
     seen_ -= std::min(seen_, gone);")
-flintweir_flaw(late-answer mix answer src/line/heads.cpp
+flintweir_flaw(late-answer mix answer src/line/protocol.cpp
   "taken.valid_until = now + " "taken.valid_until = now + std::chrono::milliseconds(400) + ")
 flintweir_flaw(session-leak all_drop ended src/line/relay.cpp
   "    host_->abort();
@@ -79,7 +79,7 @@
   host_->hand_to(nobody);")
 flintweir_flaw(runs-twice hosts_hang effect src/balance.cpp
   "if (!proven) s->ran(" "if (proven) s->ran(")
-flintweir_flaw(gone-and-dialled-on clients_leave gone src/line/link.cpp
+flintweir_flaw(gone-and-dialled-on clients_leave gone src/line/proxy_session.cpp
   "  if (client_.still_waits()) return true;" "  return true;"
   "  if (answered_) return;
   ++sessions_.clients_gone_;" "  return;")
@@ -126,9 +126,9 @@
   "(e.granted != r.token || e.holder != who) && !keep(it->first, next)" "false")
 
 # What happens between two lines: one exchange cut after each byte, with each event there.
-flintweir_flaw(gone-and-dialled crossings left-dialled src/line/link.cpp
+flintweir_flaw(gone-and-dialled crossings left-dialled src/line/proxy_session.cpp
   "  if (client_.still_waits()) return true;" "  return true;")
-flintweir_flaw(drained-while-connecting crossings drain src/line/link.cpp
+flintweir_flaw(drained-while-connecting crossings drain src/line/proxy_session.cpp
   "inherited_ || sessions_.balancer_now().may_send(at_)" "true")
 flintweir_flaw(silent-watch-kept crossings drain src/node/discovery.cpp
   "kWatchSlack = StalenessClock::kAfterWait / 4;" "kWatchSlack = 100 * StalenessClock::kAfterWait;"
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "address.h"
-#include "line/heads.h"
-#include "line/open_ids.h"
+#include "line/connection_ids.h"
+#include "line/protocol.h"
 #include "net/http_get.h"
 #include "net/kernel_network.h"
 #include "net/line_buffer.h"
@@ -24,13 +24,13 @@
 
 using namespace std::chrono_literals;
 
-TEST(Heads, DecodesTheFirstLineInPlace) {
-  const HeadReader reader({"chat", "pay"}, {2s, 3s}, true);
+TEST(LineProtocol, DecodesTheFirstLineInPlace) {
+  const OpenLineParser reader({"chat", "pay"}, {2s, 3s}, true);
   const std::string line = "OPEN 9b 7f c=pay,d=1500,g=5c,again=1,h=2.5,new=x";
   Taken taken{};
-  GivenId id;
+  ConnectionId id;
   std::string_view at, time_left;
-  ASSERT_TRUE(reader.open(line, 10s, taken, id, at, time_left));
+  ASSERT_TRUE(reader.parse(line, 10s, taken, id, at, time_left));
   EXPECT_EQ(taken.listener, ListenerId{1});
   EXPECT_EQ(taken.client, ClientKey{0x7f});
   EXPECT_EQ(taken.group, GroupId{0x5c});
@@ -42,22 +42,22 @@
   EXPECT_TRUE(at.empty());
   // Who waits longer than dials may take is answered in their time, but for a connection that is open
   // already.
-  ASSERT_TRUE(reader.open("OPEN 9b 7f c=pay,d=4294967", 10s, taken, id, at, time_left));
+  ASSERT_TRUE(reader.parse("OPEN 9b 7f c=pay,d=4294967", 10s, taken, id, at, time_left));
   EXPECT_EQ(taken.valid_until, 13s);
-  ASSERT_TRUE(reader.open("OPEN 9b 7f c=pay,d=4294967,at=s-1", 10s, taken, id, at, time_left));
+  ASSERT_TRUE(reader.parse("OPEN 9b 7f c=pay,d=4294967,at=s-1", 10s, taken, id, at, time_left));
   EXPECT_EQ(taken.valid_until, 10s + 4294967ms);
 }
 
-class BadHead : public testing::TestWithParam<const char*> {};
-TEST_P(BadHead, IsMalformed) {
-  const HeadReader reader({"chat"}, {2s}, false);
+class MalformedOpenLine : public testing::TestWithParam<const char*> {};
+TEST_P(MalformedOpenLine, IsRejected) {
+  const OpenLineParser reader({"chat"}, {2s}, false);
   Taken taken{};
-  GivenId id;
+  ConnectionId id;
   std::string_view at, time_left;
-  EXPECT_FALSE(reader.open(GetParam(), 0s, taken, id, at, time_left));
+  EXPECT_FALSE(reader.parse(GetParam(), 0s, taken, id, at, time_left));
 }
 INSTANTIATE_TEST_SUITE_P(
-    Lines, BadHead,
+    Lines, MalformedOpenLine,
     testing::Values("", "OPEN", "OPEN 1", "OPEN 1 2", "OPEN 1 2 c=other,d=5", "GET / HTTP/1.1",
                     "open 1 2 c=chat", "OPEN 1 2 c=chat,d=-5", "OPEN 1 2 c=chat,d=5x", "OPEN 1 2 d=5",
                     "OPEN  2 c=chat", "OPEN 1 2 c=chat,d=99999999999999999999", "OPEN 1 2 c=chat,d=",
@@ -70,29 +70,29 @@
                     "OPEN 1 2  c=chat"));
 
 // Whatever comes, decoding stays within the line and a decoded time lies where it says.
-TEST(Heads, AnyBytesAreSafe) {
+TEST(LineProtocol, AnyBytesAreSafe) {
   std::mt19937_64 chance(7);
-  const HeadReader reader({"chat"}, {2s}, true);
+  const OpenLineParser reader({"chat"}, {2s}, true);
   const std::string parts[] = {"OPEN ", "c=chat", ",",  "=",   "d=",    "9", " ",
                                "g=",    "at=",    "h=", "\0x", "1e999", "-"};
   for (int i = 0; i < 20000; ++i) {
     std::string line = i % 2 ? "OPEN 1 2 c=chat," : "";
     for (int n = static_cast<int>(chance() % 9); n > 0; --n) line += parts[chance() % std::size(parts)];
     Taken taken{};
-    GivenId id;
+    ConnectionId id;
     std::string_view at, time_left, rest;
-    if (reader.open(line, 1s, taken, id, at, time_left)) {
+    if (reader.parse(line, 1s, taken, id, at, time_left)) {
       EXPECT_GE(taken.valid_until, 1s) << line;
       EXPECT_TRUE(time_left.empty() || time_left.data() >= line.data());
     }
-    said(line, rest);
+    parse_host_message(line, rest);
     EXPECT_LE(rest.size(), line.size());
-    load_report(line);
+    parse_load_report(line);
   }
 }
 
-TEST(Heads, ReadsLoadReports) {
-  const LoadReport r = load_report("eps=0.1,util=0.61,x0=0.4,queue=2,what=,x1=nan");
+TEST(LineProtocol, ReadsLoadReports) {
+  const LoadReport r = parse_load_report("eps=0.1,util=0.61,x0=0.4,queue=2,what=,x1=nan");
   EXPECT_EQ(r.busy, 0.61);
   EXPECT_EQ(r.load, 0.4);
   EXPECT_EQ(r.queued, 2);
@@ -224,21 +224,21 @@
 }
 
 // An id is refused while its connection lasts and for so many that end after it, whatever order they end in.
-TEST(OpenIds, RefuseAnIdInUseOrLatelySo) {
+TEST(ConnectionIds, RefuseAnIdInUseOrLatelySo) {
   std::mt19937_64 chance(3);
   constexpr std::size_t kKept = 16;
-  OpenIds ids(kKept);
+  ConnectionIds ids(kKept);
   std::vector<std::uint64_t> open, over;  // over: the latest last
   for (int i = 0; i < 5000; ++i) {
     const std::uint64_t id = chance() % 60;
     const bool in_use = std::find(open.begin(), open.end(), id) != open.end();
     const auto recent = over.end() - static_cast<std::ptrdiff_t>(std::min(over.size(), kKept));
-    ASSERT_EQ(ids.claim(GivenId{id}), !in_use && std::find(recent, over.end(), id) == over.end()) << i;
+    ASSERT_EQ(ids.claim(ConnectionId{id}), !in_use && std::find(recent, over.end(), id) == over.end()) << i;
     if (!in_use && std::find(recent, over.end(), id) == over.end()) open.push_back(id);
     if (open.size() < 8) continue;
     std::swap(open[chance() % open.size()], open.back());
     over.push_back(open.back());
-    ids.retire(GivenId{open.back()});
+    ids.retire(ConnectionId{open.back()});
     open.pop_back();
   }
 }
