--- a/tests/node_dials_test.cpp
+++ b/tests/node_dials_test.cpp
@@ -9,67 +9,67 @@
 namespace {
 
 TEST_F(Node, KnowsWhetherADialMayHaveRun) {
-  start(16);  // those that fail are passed over for a while
+  start_node(16);  // those that fail are passed over for a while
   // Never ran: a turned-away and an unconnected dial of a once-only session go on to another host.
-  Peer client = open("pay");
-  auto [first, host] = dialled();
-  host.line();
-  host.say("BUSY\r\n");
-  EXPECT_EQ(host.line(), "(end)");
-  auto [second, host2] = dialled();
+  Peer client = open_session("pay");
+  auto [first, host] = next_dial();
+  host.read_line();
+  host.send("BUSY\r\n");
+  EXPECT_EQ(host.read_line(), "(end)");
+  auto [second, host2] = next_dial();
   EXPECT_NE(first, second);
-  host2.line();
-  host2.say("UP r1\r\n");
-  EXPECT_EQ(client.line(), "UP r1");
+  host2.read_line();
+  host2.send("UP r1\r\n");
+  EXPECT_EQ(client.read_line(), "UP r1");
   // It may have run where the host breaks off, errs or is silent after the last byte: no second dial, no
   // BUSY.
   for (const std::string how : {"close", "reset", "ERR\r\n", "what\r\n", "MOVE\r\n", "silence"}) {
-    Peer once = open("pay", how == "silence" ? 300 : 2000);
-    Peer at = dialled().second;
-    at.line();
+    Peer once = open_session("pay", how == "silence" ? 300 : 2000);
+    Peer at = next_dial().second;
+    at.read_line();
     if (how == "close")
       at.close();
     else if (how == "reset")
       at.reset();
     else if (how != "silence")
-      at.say(how);
-    EXPECT_EQ(once.line(), "ERR") << how;
-    EXPECT_EQ(once.line(), "(end)") << how;
-    for (const Acceptor& h : hosts) EXPECT_FALSE(h.connection_waits(0ms)) << "dialled again after " << how;
+      at.send(how);
+    EXPECT_EQ(once.read_line(), "ERR") << how;
+    EXPECT_EQ(once.read_line(), "(end)") << how;
+    for (const Acceptor& h : hosts) EXPECT_FALSE(h.connection_pending(0ms)) << "dialled again after " << how;
   }
   // A repeatable one may go on.
-  Peer again = open("chat");
-  Peer broke = dialled().second;
-  broke.line();
+  Peer again = open_session("chat");
+  Peer broke = next_dial().second;
+  broke.read_line();
   broke.reset();
-  Peer other = dialled().second;
-  other.line();
-  other.say("UP r2\r\n");
-  EXPECT_EQ(again.line(), "UP r2");
+  Peer other = next_dial().second;
+  other.read_line();
+  other.send("UP r2\r\n");
+  EXPECT_EQ(again.read_line(), "UP r2");
   // Hosts that are down refuse connections: never ran, so BUSY even where it may run only once.
-  for (Acceptor& h : hosts) h.shut();
-  EXPECT_EQ(open("pay").line(), "BUSY");
+  for (Acceptor& h : hosts) h.close();
+  EXPECT_EQ(open_session("pay").read_line(), "BUSY");
 }
 
 TEST_F(Node, GivesUpTheDialOfAClientThatLeaves) {
-  start(1);
-  Peer client = open();
-  Peer host = dialled().second;
-  host.line();
+  start_node(1);
+  Peer client = open_session();
+  Peer host = next_dial().second;
+  host.read_line();
   client.close();
-  EXPECT_TRUE(host.over());
-  EXPECT_FALSE(program->logged("end left").empty());
-  host.say("UP late\r\n");
-  auto [next, next_host] = accepted();  // a late answer reaches nobody
-  next_host.say("hello\r\n");
-  EXPECT_EQ(next.line(), "hello");
+  EXPECT_TRUE(host.wait_closed());
+  EXPECT_FALSE(program->wait_for_log("end left").empty());
+  host.send("UP late\r\n");
+  auto [next, next_host] = accepted_session();  // a late answer reaches nobody
+  next_host.send("hello\r\n");
+  EXPECT_EQ(next.read_line(), "hello");
 }
 
 // Many sessions at once among hosts that do anything: every client gets one answer in time, no session has
 // two dials out, and what may run once is never sent again after it may have run.
 TEST_F(Node, KeepsTheRulesInRandomRuns) {
   std::mt19937_64 chance(11);
-  start(40);  // those that fail are passed over for a while
+  start_node(40);  // those that fail are passed over for a while
   struct Client {
     Peer peer;
     Steady::time_point until;
@@ -89,15 +89,15 @@
     if (begun < count && clients.size() < 40) {
       const bool once = chance() % 2;
       const std::string id = std::to_string(ids + 1);
-      clients[id] = {open(once ? "pay" : "chat", 400), Steady::now() + 400ms, once};
+      clients[id] = {open_session(once ? "pay" : "chat", 400), Steady::now() + 400ms, once};
       ++begun;
     }
     for (Acceptor& acceptor : hosts) {
-      while (acceptor.connection_waits(0ms)) dials.push_back({acceptor.take(), ""});
+      while (acceptor.connection_pending(0ms)) dials.push_back({acceptor.accept(), ""});
     }
     for (std::size_t i = 0; i < dials.size();) {
       Dial& d = dials[i];
-      const std::string line = d.peer.line(0ms);
+      const std::string line = d.peer.read_line(0ms);
       bool gone = line[0] == '(' && line != "(nothing)";
       if (d.id.empty() && line.rfind("OPEN ", 0) == 0) {
         d.id = line.substr(5, line.find(' ', 5) - 5);
@@ -108,11 +108,11 @@
         out.erase(d.id);  // before the end that the node may see at once
         if (what != 1) may_have_run.insert(d.id);
         if (what == 0) d.peer.reset();
-        if (what == 1) d.peer.say("BUSY\r\n");
-        if (what == 2) d.peer.say("ERR\r\n");
+        if (what == 1) d.peer.send("BUSY\r\n");
+        if (what == 2) d.peer.send("ERR\r\n");
         if (what == 3) d.peer.close();
         if (what >= 4) out.insert(d.id);  // 4: silent
-        if (what > 4) d.peer.say("UP r" + d.id + "\r\n");
+        if (what > 4) d.peer.send("UP r" + d.id + "\r\n");
         d.up = what > 4;
         gone = what == 0 || what == 3;
       } else if (d.up && line.rfind("hello", 0) == 0) {
@@ -120,7 +120,7 @@
         if (chance() % 20 == 0)
           d.peer.reset();
         else
-          d.peer.say("BYE\r\n");
+          d.peer.send("BYE\r\n");
         gone = true;
       }
       if (gone) {
@@ -133,7 +133,7 @@
     }
     for (auto it = clients.begin(); it != clients.end();) {
       Client& c = it->second;
-      const std::string line = c.peer.line(0ms);
+      const std::string line = c.peer.read_line(0ms);
       bool done = false;
       if (!c.answered) {
         EXPECT_LT(Steady::now(), c.until + 1s) << "no answer in time";  // the machine may be slow
@@ -144,7 +144,7 @@
           EXPECT_TRUE(up || line == "BUSY" || line == "ERR") << line;
           EXPECT_FALSE(line == "BUSY" && c.once && may_have_run.contains(it->first))
               << "refused, may have run";
-          if (up) c.peer.say("hello " + it->first + "\r\n"), ++ups;
+          if (up) c.peer.send("hello " + it->first + "\r\n"), ++ups;
           c.said = up;
           done = !up;
         } else if (Steady::now() > c.until + 1s) {
@@ -156,7 +156,7 @@
       }
       it = done ? clients.erase(it) : std::next(it);
     }
-    readable(discovery.fd(), 1ms);
+    wait_readable(discovery.fd(), 1ms);
   }
   EXPECT_EQ(answers, static_cast<unsigned>(count));
   EXPECT_GT(ups, 20u);
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -25,9 +25,9 @@
 using namespace std::chrono_literals;
 using Steady = std::chrono::steady_clock;
 
-constexpr auto kPatience = 10s;
+constexpr auto kMaxWait = 10s;
 
-inline bool readable(int fd, Steady::duration within) {
+inline bool wait_readable(int fd, Steady::duration within) {
   pollfd p{fd, POLLIN, 0};
   const auto ms = std::chrono::ceil<std::chrono::milliseconds>(within).count();
   return poll(&p, 1, static_cast<int>(std::max<long long>(ms, 0))) > 0;
@@ -46,7 +46,7 @@
     return *this;
   }
   ~Peer() { close(); }
-  static Peer to(int port) {
+  static Peer connect(int port) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in at{};
     at.sin_family = AF_INET;
@@ -56,20 +56,20 @@
     return Peer(fd);
   }
   int fd() const { return fd_; }
-  void say(std::string_view text) {
+  void send(std::string_view text) {
     while (!text.empty()) {
-      const ssize_t n = send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
+      const ssize_t n = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
       if (n <= 0) return;
       text.remove_prefix(static_cast<std::size_t>(n));
     }
   }
   // As much as is taken at once; the rest stays with the caller.
-  std::size_t offer(std::string_view text) const {
-    const ssize_t n = send(fd_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+  std::size_t try_send(std::string_view text) const {
+    const ssize_t n = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return n > 0 ? static_cast<std::size_t>(n) : 0;
   }
   // The next line without its end; "(end)", "(reset)" or "(nothing)" where there is none.
-  std::string line(Steady::duration within = kPatience) {
+  std::string read_line(Steady::duration within = kMaxWait) {
     const auto until = Steady::now() + within;
     for (;;) {
       if (const auto end = in_.find("\r\n"); end != in_.npos) {
@@ -77,7 +77,7 @@
         in_.erase(0, end + 2);
         return out;
       }
-      if (!readable(fd_, until - Steady::now())) return "(nothing)";
+      if (!wait_readable(fd_, until - Steady::now())) return "(nothing)";
       char bytes[16384];
       const ssize_t n = recv(fd_, bytes, sizeof bytes, 0);
       if (n < 0) return "(reset)";
@@ -85,11 +85,11 @@
       in_.append(bytes, static_cast<std::size_t>(n));
     }
   }
-  bool over() {  // however it ended
-    const std::string last = line();
+  bool wait_closed() {  // however it ended
+    const std::string last = read_line();
     return last == "(end)" || last == "(reset)";
   }
-  void end_sending() { shutdown(fd_, SHUT_WR); }
+  void shutdown_send() { shutdown(fd_, SHUT_WR); }
   void close() {
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
@@ -119,16 +119,16 @@
     EXPECT_EQ(listen(fd_, 256), 0);
   }
   Acceptor(Acceptor&& o) noexcept : fd_(std::exchange(o.fd_, -1)), port_(o.port_) {}
-  ~Acceptor() { shut(); }
-  void shut() {
+  ~Acceptor() { close(); }
+  void close() {
     if (fd_ >= 0) ::close(fd_);
     fd_ = -1;
   }
   int fd() const { return fd_; }
   int port() const { return port_; }
-  bool connection_waits(Steady::duration within = kPatience) const { return readable(fd_, within); }
-  Peer take() const {
-    if (!connection_waits()) return ADD_FAILURE() << "nobody came to " << port_, Peer();
+  bool connection_pending(Steady::duration within = kMaxWait) const { return wait_readable(fd_, within); }
+  Peer accept() const {
+    if (!connection_pending()) return ADD_FAILURE() << "nobody came to " << port_, Peer();
     return Peer(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
 
@@ -136,7 +136,7 @@
   int fd_, port_ = 0;
 };
 
-inline std::string target(const std::string& uid, int port, const char* state = "SERVING") {
+inline std::string target_json(const std::string& uid, int port, const char* state = "SERVING") {
   std::ostringstream out;
   out << R"({"uid":")" << uid << R"(","endpoint":"127.0.0.1:)" << port
       << R"(","az":"a","model":"m","pod_group":1,"state":")" << state
@@ -144,13 +144,13 @@
   return out.str();
 }
 
-inline std::string list(int rev, bool whole, const std::string& targets) {
+inline std::string list_json(int rev, bool whole, const std::string& targets) {
   return "{\"rev\":" + std::to_string(rev) + ",\"all\":" + (whole ? "true" : "false") + ",\"targets\":[" +
          targets + "]}";
 }
 
-inline std::string settings(bool probes, bool stay_away, bool pushed, int dial_timeout,
-                            int ask_every = 10'000'000) {
+inline std::string settings_json(bool probes, bool stay_away, bool pushed, int dial_timeout,
+                                 int ask_every = 10'000'000) {
   std::ostringstream out;
   out << R"({"balancers":1,"ceilings":{"connectTimeout":500000,"maxDials":4,"maxRetryAfter":1500000,"retryAfter":)"
       << (stay_away ? "true" : "false") << R"(,)"
@@ -177,7 +177,7 @@
     char path[] = "/tmp/flintweir_test_XXXXXX";
     ::close(mkstemp(path));
     path_ = path;
-    rewrite(config);
+    write_config(config);
     int pipes[2];
     EXPECT_EQ(pipe(pipes), 0);
     pid_ = fork();
@@ -214,7 +214,7 @@
   }
   Program(const Program&) = delete;
   // The next log line that holds this; empty where none comes.
-  std::string logged(const std::string& part, Steady::duration within = kPatience) {
+  std::string wait_for_log(const std::string& part, Steady::duration within = kMaxWait) {
     for (const auto until = Steady::now() + within; Steady::now() < until;) {
       if (const auto end = log_.in.find('\n'); end != log_.in.npos) {
         const std::string out = log_.in.substr(0, end);
@@ -223,15 +223,16 @@
         continue;
       }
       char bytes[4096];
-      const ssize_t n = readable(log_.fd, until - Steady::now()) ? read(log_.fd, bytes, sizeof bytes) : 0;
+      const ssize_t n =
+          wait_readable(log_.fd, until - Steady::now()) ? read(log_.fd, bytes, sizeof bytes) : 0;
       if (n <= 0) break;
       log_.in.append(bytes, static_cast<std::size_t>(n));
     }
     return {};
   }
-  int ended() {
+  int wait_for_exit() {
     int status = 0;
-    for (const auto until = Steady::now() + kPatience; Steady::now() < until; readable(-1, 5ms)) {
+    for (const auto until = Steady::now() + kMaxWait; Steady::now() < until; wait_readable(-1, 5ms)) {
       if (waitpid(pid_, &status, WNOHANG) == pid_) {
         pid_ = -1;
         return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
@@ -239,9 +240,9 @@
     }
     return -1000;
   }
-  void signal(int number) const { kill(pid_, number); }
-  void rewrite(const std::string& config) const { std::ofstream(path_) << config; }
-  bool running() { return waitpid(pid_, nullptr, WNOHANG) == 0; }
+  void send_signal(int number) const { kill(pid_, number); }
+  void write_config(const std::string& config) const { std::ofstream(path_) << config; }
+  bool is_running() { return waitpid(pid_, nullptr, WNOHANG) == 0; }
 
  private:
   struct Log {
@@ -257,65 +258,65 @@
 // A node among stand-ins.
 class Node : public testing::Test {
  protected:
-  void start(std::size_t count, bool probes = false, int sockets = 1000, bool stay_away = false,
-             bool reload_first = false) {
+  void start_node(std::size_t count, bool probes = false, int sockets = 1000, bool stay_away = false,
+                  bool reload_first = false) {
     std::string targets;
     for (std::size_t i = 0; i < count; ++i) {
       hosts.emplace_back();
       if (i > 0) targets += ',';
-      targets += target(name(i), hosts[i].port());
+      targets += target_json(host_name(i), hosts[i].port());
     }
     config = [=, this](int at) {
       return R"({"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:)" + std::to_string(at) +
              R"(","seed":"8c1f","limits":{"cores":1.0,"memory_mb":)" + std::to_string(memory_mb) +
-             R"(,"sockets":)" + std::to_string(sockets) + R"(},"known":)" + list(1, true, targets) +
-             R"(,"settings":)" + settings(probes, stay_away, pushed, dial_timeout, ask_every) + '}';
+             R"(,"sockets":)" + std::to_string(sockets) + R"(},"known":)" + list_json(1, true, targets) +
+             R"(,"settings":)" + settings_json(probes, stay_away, pushed, dial_timeout, ask_every) + '}';
     };
     program = std::make_unique<Program>(config(1), std::vector<std::string>{"serve"},
                                         "127.0.0.1:" + std::to_string(discovery.port()), reload_first);
-    const std::string line = program->logged("serving at ");
+    const std::string line = program->wait_for_log("serving at ");
     ASSERT_FALSE(line.empty()) << "the program does not serve";
     port = std::stoi(line.substr(line.rfind(':') + 1));
   }
-  void TearDown() override { EXPECT_TRUE(!program || program->running()) << "the program crashed"; }
-  static std::string name(std::size_t host) { return "s-" + std::to_string(host); }
-  Peer open(const std::string& listener = "chat", int d = 2000, const std::string& more = "") {
-    Peer client = Peer::to(port);
-    client.say("OPEN " + std::to_string(++ids) + " 7f c=" + listener + ",d=" + std::to_string(d) + more +
-               "\r\n");
+  void TearDown() override { EXPECT_TRUE(!program || program->is_running()) << "the program crashed"; }
+  static std::string host_name(std::size_t host) { return "s-" + std::to_string(host); }
+  Peer open_session(const std::string& listener = "chat", int d = 2000, const std::string& more = "") {
+    Peer client = Peer::connect(port);
+    client.send("OPEN " + std::to_string(++ids) + " 7f c=" + listener + ",d=" + std::to_string(d) + more +
+                "\r\n");
     return client;
   }
   // The host that is dialled next, and the connection to it.
-  std::pair<std::size_t, Peer> dialled() {
+  std::pair<std::size_t, Peer> next_dial() {
     std::vector<pollfd> acceptors;
     for (const Acceptor& h : hosts) acceptors.push_back({h.fd(), POLLIN, 0});
     EXPECT_GT(poll(acceptors.data(), acceptors.size(), 10000), 0) << "no host was dialled";
     for (std::size_t i = 0; i < hosts.size(); ++i) {
-      if (acceptors[i].revents & POLLIN) return {i, hosts[i].take()};
+      if (acceptors[i].revents & POLLIN) return {i, hosts[i].accept()};
     }
     return {0, Peer()};
   }
-  std::pair<Peer, Peer> accepted() {  // client, host
-    Peer client = open();
-    Peer host = dialled().second;
-    EXPECT_EQ(host.line().substr(0, 5), "OPEN ");
-    host.say("UP r1\r\n");
-    EXPECT_EQ(client.line(), "UP r1");
+  std::pair<Peer, Peer> accepted_session() {  // client, host
+    Peer client = open_session();
+    Peer host = next_dial().second;
+    EXPECT_EQ(host.read_line().substr(0, 5), "OPEN ");
+    host.send("UP r1\r\n");
+    EXPECT_EQ(client.read_line(), "UP r1");
     return {std::move(client), std::move(host)};
   }
   // Answers one call of discovery.
-  static void tell(Peer& watch, const std::string& body, const char* status = "200 OK") {
-    watch.say("HTTP/1.1 " + std::string(status) + "\r\nContent-Length: " + std::to_string(body.size()) +
-              "\r\n\r\n" + body);
+  static void respond(Peer& watch, const std::string& body, const char* status = "200 OK") {
+    watch.send("HTTP/1.1 " + std::string(status) + "\r\nContent-Length: " + std::to_string(body.size()) +
+               "\r\n\r\n" + body);
   }
-  static std::string asked(Peer& watch) {  // the first line of a call
-    const std::string first = watch.line();
-    for (std::string l = first; !l.empty() && l[0] != '(';) l = watch.line();
+  static std::string read_request(Peer& watch) {  // the first line of a call
+    const std::string first = watch.read_line();
+    for (std::string l = first; !l.empty() && l[0] != '(';) l = watch.read_line();
     return first;
   }
 
   // No two nodes wait equally long, but none longer than 20 s or less than half of that.
-  static void expect_watch(const std::string& call, int since) {
+  static void expect_watch_request(const std::string& call, int since) {
     const std::string begin = "GET /api/targets?since=" + std::to_string(since) + "&timeout_ms=";
     ASSERT_EQ(call.substr(0, begin.size()), begin);
     const int ms = std::stoi(call.substr(begin.size()));
--- a/tests/node_stale_list_test.cpp
+++ b/tests/node_stale_list_test.cpp
@@ -18,7 +18,7 @@
     silent       // calls are taken and get no answer
   };
   explicit ListService(const std::string& targets)
-      : whole_(list(1, true, targets)), thread_([this] { serve(); }) {}
+      : whole_(list_json(1, true, targets)), thread_([this] { serve(); }) {}
   ~ListService() { stop(); }
   ListService(const ListService&) = delete;
   int port() const { return acceptor_.port(); }
@@ -29,7 +29,7 @@
     if (thread_.joinable()) thread_.join();
     for (Call& call : calls_) call.peer.reset();
     calls_.clear();
-    acceptor_.shut();
+    acceptor_.close();
   }
 
  private:
@@ -39,7 +39,7 @@
   };
   void serve() {
     while (!over_) {
-      if (acceptor_.connection_waits(2ms)) calls_.push_back({acceptor_.take()});
+      if (acceptor_.connection_pending(2ms)) calls_.push_back({acceptor_.accept()});
       for (Call& call : calls_) {
         hear(call);
         if (call.out) answer(call);
@@ -48,7 +48,8 @@
     }
   }
   static void hear(Call& call) {
-    for (std::string line = call.peer.line(0ms); !line.starts_with('('); line = call.peer.line(0ms)) {
+    for (std::string line = call.peer.read_line(0ms); !line.starts_with('(');
+         line = call.peer.read_line(0ms)) {
       if (line.starts_with("GET ")) call.watch = line.find("since=") != line.npos;
       call.out = line.empty();
     }
@@ -62,8 +63,8 @@
                              : mode == Mode::half_lists ? whole_.substr(0, whole_.size() / 2)
                                                         : whole_;
     const char* status = mode == Mode::turns_away ? "503 Service Unavailable" : "200 OK";
-    call.peer.say("HTTP/1.1 " + std::string(status) + "\r\nContent-Length: " + std::to_string(body.size()) +
-                  "\r\n\r\n" + body);
+    call.peer.send("HTTP/1.1 " + std::string(status) + "\r\nContent-Length: " + std::to_string(body.size()) +
+                   "\r\n\r\n" + body);
   }
 
   Acceptor acceptor_;
@@ -84,25 +85,25 @@
   static constexpr auto kStops = 3s;  // for so long nothing may be sent
 
   std::string targets() const {
-    return target(name(0), hosts[0].port()) + "," + target(name(1), hosts[1].port());
+    return target_json(host_name(0), hosts[0].port()) + "," + target_json(host_name(1), hosts[1].port());
   }
   Steady::time_point turn_to(int service) {
     const auto now = Steady::now();
-    program->rewrite(config(service));
-    program->signal(SIGHUP);
-    EXPECT_FALSE(program->logged("reload: discovery at ").empty());
+    program->write_config(config(service));
+    program->send_signal(SIGHUP);
+    EXPECT_FALSE(program->wait_for_log("reload: discovery at ").empty());
     return now;
   }
   // Whether a session that comes now is sent to a host. Its connection there is kept, as an end would have
   // the node dial another.
   bool sends() {
-    program->logged("(no such line)", 100ms);  // a log that nobody reads holds the program up
+    program->wait_for_log("(no such line)", 100ms);  // a log that nobody reads holds the program up
     while (dialled_within(0ms)) continue;
-    Peer client = open();
+    Peer client = open_session();
     return dialled_within(300ms);
   }
   void expect_stopped(Steady::time_point from, const char* why) {
-    while (Steady::now() < from) readable(-1, 5ms);
+    while (Steady::now() < from) wait_readable(-1, 5ms);
     while (Steady::now() < from + kStops) ASSERT_FALSE(sends()) << why;
   }
 
@@ -113,7 +114,7 @@
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(within).count();
     if (poll(doors.data(), doors.size(), static_cast<int>(ms)) <= 0) return false;
     for (std::size_t i = 0; i < hosts.size(); ++i)
-      if (doors[i].revents & POLLIN) kept_.push_back(hosts[i].take());
+      if (doors[i].revents & POLLIN) kept_.push_back(hosts[i].accept());
     return true;
   }
   std::vector<Peer> kept_;
@@ -121,9 +122,9 @@
 
 // Guards against a refused connection that puts off what counts as told since a new configuration.
 TEST_F(StaleList, NothingIsSentWhereANewConfigurationNamesAServiceThatRefuses) {
-  start(2);
+  start_node(2);
   Acceptor nobody;
-  nobody.shut();
+  nobody.close();
   const auto turned = turn_to(nobody.port());
   EXPECT_TRUE(sends());
   expect_stopped(turned + kStaleAfterSwitch + kGrace, "told of another service, which is not there");
@@ -134,10 +135,10 @@
 // configuration.
 TEST_F(StaleList, NothingIsSentAfterANewConfigurationThatFollowsALongOutage) {
   ask_every = 2'500'000;  // four times that, and six seconds, until an outage is believed
-  start(2);
+  start_node(2);
   ListService first(targets()), second(targets());
   turn_to(first.port());
-  ASSERT_FALSE(program->logged("list: taken version=1").empty());
+  ASSERT_FALSE(program->wait_for_log("list: taken version=1").empty());
   first.turn(Mode::turns_away);
   bool sent = false;
   for (const auto until = Steady::now() + 17s; Steady::now() < until;) sent = sends();
@@ -149,13 +150,13 @@
 
 // Guards against half a list that counts by the wait its call was allowed, up to 22 s, not by when it came.
 TEST_F(StaleList, NothingIsSentSixSecondsAfterHalfAListCame) {
-  start(2);
+  start_node(2);
   ListService service(targets());
   turn_to(service.port());
-  ASSERT_FALSE(program->logged("list: taken version=1").empty());
+  ASSERT_FALSE(program->wait_for_log("list: taken version=1").empty());
   const auto spoilt = Steady::now();
   service.turn(Mode::half_lists);
-  ASSERT_FALSE(program->logged("malformed or stale").empty());
+  ASSERT_FALSE(program->wait_for_log("malformed or stale").empty());
   EXPECT_TRUE(sends());
   expect_stopped(spoilt + kStaleAfterChange + kGrace, "half a list had come");
 }
