--- a/benchlink/wire.cpp
+++ b/benchlink/wire.cpp
@@ -86,24 +86,26 @@
   array::iterator it_, end_;
 };
 
-Ending ending_coded(std::uint64_t code) {
-  constexpr std::array endings{Ending::finished,    Ending::erred,  Ending::turned_away, Ending::timed_out,
-                               Ending::unconnected, Ending::broken, Ending::cancelled,   Ending::unsent};
+DialOutcome ending_coded(std::uint64_t code) {
+  constexpr std::array endings{DialOutcome::completed,      DialOutcome::error_reply,
+                               DialOutcome::rejected,       DialOutcome::timed_out,
+                               DialOutcome::connect_failed, DialOutcome::connection_lost,
+                               DialOutcome::cancelled,      DialOutcome::not_sent};
   if (code >= endings.size()) bad("unknown verdict " + std::to_string(code));
   return endings[code];
 }
 
-Standing standing_named(std::string_view name) {
-  if (name == "IN") return Standing::in;
-  if (name == "LAME") return Standing::draining;
-  if (name == "OUT") return Standing::gone;
+HostStatus standing_named(std::string_view name) {
+  if (name == "IN") return HostStatus::active;
+  if (name == "LAME") return HostStatus::draining;
+  if (name == "OUT") return HostStatus::removed;
   bad("DIRECTORY: unknown condition '" + std::string(name) + "'");
 }
 
 struct Entry {
   std::string address;
   std::uint64_t zone, cell;
-  Standing standing;
+  HostStatus standing;
   double share;
   Micros started;
 };
@@ -152,7 +154,7 @@
 };
 
 // One instance: its balancer, the handles of its sessions, and the addresses its lists have named.
-class Node final : public Outlet {
+class Node final : public BalancerActions {
  public:
   Node(Reply& reply, std::uint64_t who, std::uint64_t seed, element env) : reply_(reply), who_(who) {
     const setup::Values settings(env, "CONFIGURE: env");
@@ -161,18 +163,18 @@
     balancer_ = setup::balancer_for(settings, *this, seed);
   }
 
-  void at(Micros now) { balancer_->at(now); }
+  void at(Micros now) { balancer_->set_time(now); }
 
   void job_in(Reader& r) {
     const SessId id{r.number("rid")};
-    Taken taken = listener(r);
+    SessionRequest taken = listener(r);
     taken.tenant.value = static_cast<std::uint32_t>(r.number_or(0, "billing"));
     if (const auto key = r.maybe("nameKey")) taken.client = ClientKey{*key};
-    taken.valid_until = r.time("validUntil");
+    taken.deadline = r.time("validUntil");
     const auto hint = r.maybe("sizeHint");
     if (const auto group = r.maybe("channel")) taken.group = GroupId{*group};
     flags(taken, r.number_or(0, "bitmap"), hint);
-    keep(id, balancer_->take(id, taken));
+    keep(id, balancer_->start_session(id, taken));
   }
 
   void inherited(Reader& r) {
@@ -184,20 +186,20 @@
     const std::uint64_t bits = r.number_or(0, "bitmap");
     const auto group = r.maybe("channel");
     const std::uint64_t tenant = r.number_or(0, "billing");
-    Taken taken = listener(r);
+    SessionRequest taken = listener(r);
     taken.client = client;
-    taken.valid_until = valid_until;
+    taken.deadline = valid_until;
     if (group) taken.group = GroupId{*group};
     taken.tenant.value = static_cast<std::uint32_t>(tenant);
     flags(taken, bits, hint);
-    keep(id, balancer_->inherit(id, taken, name(r.text("host"))));
+    keep(id, balancer_->adopt_session(id, taken, name(r.text("host"))));
   }
 
   void flowing(Reader& r) {
     const SessId id{r.number("rid")};
     r.text("host");
     const DialNo dial{static_cast<std::uint32_t>(r.number("shot"))};
-    on(id, [&](Sess& s) { s.accepted(dial); });
+    on(id, [&](SessionHandle& s) { s.dial_accepted(dial); });
   }
 
   void progress(Reader& r) {
@@ -206,8 +208,9 @@
     r.text("host");
     const std::uint64_t what = r.number("what");
     const double amount = r.real("amount");
-    if (what == 1) on(id, [&](Sess& s) { s.load_is(amount); });
-    if (what == 2) on(id, [&](Sess& s) { s.messages_take(Micros{std::llround(amount * 1000)}); });
+    if (what == 1) on(id, [&](SessionHandle& s) { s.set_load(amount); });
+    if (what == 2)
+      on(id, [&](SessionHandle& s) { s.set_message_delay(Micros{std::llround(amount * 1000)}); });
   }
 
   void settled(Reader& r) {
@@ -215,18 +218,18 @@
     const DialNo dial{static_cast<std::uint32_t>(r.number("shot"))};
     const bool over = r.yes("doneFlag");
     r.number("latency");
-    const Ending ending = ending_coded(r.number("verdict"));
-    on(id, [&](Sess& s) { s.ended(dial, ending, over); });
+    const DialOutcome ending = ending_coded(r.number("verdict"));
+    on(id, [&](SessionHandle& s) { s.dial_ended(dial, ending, over); });
   }
 
   void gone(Reader& r) {
-    on(SessId{r.number("rid")}, [](Sess& s) { s.left(); });
+    on(SessId{r.number("rid")}, [](SessionHandle& s) { s.client_left(); });
   }
 
   void probe_done(Reader& r) {
     const Micros took = r.time("latency");
     const std::string_view host = r.text("host");
-    const Ending how = ending_coded(r.number("verdict"));
+    const DialOutcome how = ending_coded(r.number("verdict"));
     LoadReport report;
     if (const auto values = r.next()) {
       array row;
@@ -240,7 +243,7 @@
         setup::set_field(report, field, value);
       }
     }
-    balancer_->probed(name(host), how, took, report);
+    balancer_->probe_ended(name(host), how, took, report);
   }
 
   void tick_due(Reader& r) {
@@ -248,34 +251,34 @@
     std::uint64_t wake = 0;
     const auto end = std::from_chars(token.data(), token.data() + token.size(), wake);
     if (end.ec != std::errc{} || end.ptr != token.data() + token.size()) return;
-    balancer_->woken(WakeId{wake});
+    balancer_->timer_expired(TimerId{wake});
   }
 
   void update(const std::vector<Entry>* list, std::string_view mode) {
     if (mode == "broken") return balancer_->list_failed();
     if (!list) bad("UPDATE: names a table that no DIRECTORY has filled");
-    balancer_->list_begins(mode != "patch");
+    balancer_->begin_list(mode != "patch");
     for (const Entry& e : *list) {
-      balancer_->listed(name(e.address), ZoneId{static_cast<std::uint32_t>(e.zone)},
-                        CellId{static_cast<std::uint32_t>(e.cell)}, e.standing, e.share, e.started);
+      balancer_->list_host(name(e.address), ZoneId{static_cast<std::uint32_t>(e.zone)},
+                           CellId{static_cast<std::uint32_t>(e.cell)}, e.standing, e.share, e.started);
     }
-    balancer_->list_ends();
+    balancer_->end_list();
   }
 
   void dial(SessId s, HostId host, Micros limit) override {
     reply_.message("ROUTE", who_).number(rid(s)).text(names_.at(host.value)).number(limit.count()).end();
   }
-  void refuse(SessId s, Micros away, Refusal) override {
+  void refuse(SessId s, Micros away, RefusalReason) override {
     reply_.message("NOT_NOW", who_).number(rid(s)).number(away.count()).end();
   }
-  void tear_down(SessId s, Refusal) override { reply_.message("ABORT", who_).number(rid(s)).end(); }
+  void tear_down(SessId s, RefusalReason) override { reply_.message("ABORT", who_).number(rid(s)).end(); }
   void move(SessId s) override { reply_.message("SHIFT", who_).number(rid(s)).end(); }
   void probe(HostId host) override { reply_.message("ASK_LOAD", who_).text(names_.at(host.value)).end(); }
-  void wake(Micros in, WakeId wake) override {
+  void set_timer(Micros in, TimerId wake) override {
     reply_.message("TIMER", who_).number(in.count()).text(std::to_string(wake.value)).end();
   }
-  void watch() override { reply_.message("OBSERVE", who_).word("true").end(); }
-  void forget(HostId) override {}  // a node may send to any host that a list of its own has named
+  void watch_list() override { reply_.message("OBSERVE", who_).word("true").end(); }
+  void forget_host(HostId) override {}  // a node may send to any host that a list of its own has named
   void log(std::string_view line) override { reply_.message("LOG", who_).text(line).end(); }
   void log(std::string_view line, HostId host) override {
     log(std::string(line) + ": " + names_.at(host.value));
@@ -290,21 +293,21 @@
     return id;
   }
 
-  Taken listener(Reader& r) {
-    Taken taken{};
+  SessionRequest listener(Reader& r) {
+    SessionRequest taken{};
     const std::uint64_t service = r.number("service");
     if (service >= listener_count_) r.wrong("service", "one of the listeners");
     taken.listener.value = static_cast<std::uint32_t>(service);
     return taken;
   }
 
-  static void flags(Taken& taken, std::uint64_t bits, std::optional<std::uint64_t> hint) {
-    if (bits & 1 && hint) taken.usual_load = static_cast<double>(*hint);
-    taken.repeat = bits & 2;
-    taken.returned = bits & 16;
+  static void flags(SessionRequest& taken, std::uint64_t bits, std::optional<std::uint64_t> hint) {
+    if (bits & 1 && hint) taken.expected_load = static_cast<double>(*hint);
+    taken.is_retry = bits & 2;
+    taken.is_reconnect = bits & 16;
   }
 
-  void keep(SessId id, Sess s) {
+  void keep(SessId id, SessionHandle s) {
     if (s.live()) sessions_.insert_or_assign(id.value, s);
   }
 
@@ -322,7 +325,7 @@
   std::size_t listener_count_ = 0;
   std::vector<std::string> fields_;
   std::unordered_map<std::uint64_t, std::string> names_;
-  std::unordered_map<std::uint64_t, Sess> sessions_;
+  std::unordered_map<std::uint64_t, SessionHandle> sessions_;
   std::unique_ptr<Balancer> balancer_;
 };
 
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,7 +1,7 @@
 // Every decision of flintweir: which host gets a session, when to dial again, refuse, probe or move.
-// How it is called: the caller says the time (Balancer::at), then what happened (list, probe answers,
-// sessions taken, wake-ups); what befalls a session comes in through its Sess handle. Each call may act on
-// the Outlet before it returns. The interface is in balance.h; docs/design.md tells the reasons.
+// How it is called: the caller says the time (Balancer::set_time), then what happened (list, probe answers,
+// sessions taken, wake-ups); what befalls a session comes in through its SessionHandle. Each call may act on
+// the BalancerActions before it returns. The interface is in balance.h; docs/design.md tells the reasons.
 #include "balance.h"
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 #include <random>
 #include <utility>
 
-#include "dial_budget.h"
 #include "host.h"
+#include "retry_budget.h"
 #include "session.h"
 
 namespace flintweir {
@@ -35,7 +35,7 @@
 class LoadForecast {
  public:
   void report(Micros now, double load, double piled, double least_peak) {
-    const double kept = at_ == kNever ? 0 : fade(now - at_, kQuietRest);
+    const double kept = at_ == kNever ? 0 : decay(now - at_, kQuietRest);
     growth_ = at_ == kNever || now <= at_ ? 0 : (piled - piled_) / seconds(now - at_);
     peak_ = std::max({piled, peak_ * kept, least_peak});
     load_ = load;
@@ -60,18 +60,18 @@
 // How unusual a host's present silence is, given the gaps between its signs of life so far.
 class SilenceJudge {
  public:
-  void sign(Micros now) { gaps_.sign(now); }
+  void sign(Micros now) { gaps_.add(now); }
   bool heard_since(Micros t) const { return gaps_.last() != kNever && gaps_.last() >= t; }
   // So long a gap comes by chance once in a hundred million.
   bool too_long(Micros now, Micros expected) const {
     if (!gaps_.known()) return false;
     const double mean = std::max(gaps_.mean(), seconds(expected));
     constexpr double kUnusual = 5.612;  // spreads over the mean, of a normal spread
-    return seconds(now - gaps_.last()) - mean > kUnusual * std::max(gaps_.spread(), mean / 4);
+    return seconds(now - gaps_.last()) - mean > kUnusual * std::max(gaps_.deviation(), mean / 4);
   }
 
  private:
-  Gaps gaps_;
+  GapStatistics gaps_;
 };
 
 // What came lately of what this node sent a host: dials, and probes whose answer a message might have waited
@@ -80,9 +80,9 @@
 // forgiven more slowly. Could do harm where hosts are slow with load alone; those are suspended besides.
 class Way {
  public:
-  void fade_by(Micros half) {
-    sent_.fade_by(half);
-    missed_.fade_by(half);
+  void set_half_life(Micros half) {
+    sent_.set_half_life(half);
+    missed_.set_half_life(half);
   }
   void met(Micros now, bool well) {
     sent_.add(now, 1);
@@ -101,7 +101,7 @@
 
  private:
   static constexpr double kBad = 0.3;
-  FadingSum sent_{2 * kProbeEvery}, missed_{2 * kProbeEvery};
+  DecayingSum sent_{2 * kProbeEvery}, missed_{2 * kProbeEvery};
   bool bad_ = false;
   unsigned spells_ = 0;
   Micros bad_until_ = kNever;
@@ -110,23 +110,23 @@
 // What a cold host has been sent lately, against this node's part of what would tip it over.
 class ColdGuard {
  public:
-  explicit ColdGuard(ColdRule rule) : rule_(rule) {}
+  explicit ColdGuard(ColdStartLimits rule) : rule_(rule) {}
   Micros window() const { return rule_.window; }
   double warmth(Micros age) const {
-    return std::clamp(rule_.share + (1 - rule_.share) * ratio(age, rule_.warm_within), rule_.share, 1.0);
-  }
-  bool cold(Micros now, Micros started) const {
-    return started > Micros{0} && now - started < rule_.warm_within;
+    return std::clamp(rule_.initial_share + (1 - rule_.initial_share) * ratio(age, rule_.warm_up),
+                      rule_.initial_share, 1.0);
   }
+  bool cold(Micros now, Micros started) const { return started > Micros{0} && now - started < rule_.warm_up; }
   // What a second fills of a host, where so much of all load ends of itself in one: a cold host takes
   // connections as fast as fills it over its warm-up, also where they live far longer.
-  double filling(double turnover) const { return std::max(turnover, 1 / seconds(rule_.warm_within)); }
+  double filling(double turnover) const { return std::max(turnover, 1 / seconds(rule_.warm_up)); }
   // `rate`: what this node's part of the warm host takes a second when full, in load. Where that is less than
   // the session `chance`, drawn for each window, decides, so that all nodes' parts still make one. Guards
   // against a host that stays empty until it is warm, as each of many nodes may send under one session.
-  bool room(Micros now, Micros started, double rate, double cost, const RecentSum& sent,
+  bool room(Micros now, Micros started, double rate, double cost, const SlidingSum& sent,
             double chance) const {
-    const double budget = kCaution * rule_.multiple * warmth(now - started) * rate * seconds(rule_.window);
+    const double budget =
+        kCaution * rule_.overload_factor * warmth(now - started) * rate * seconds(rule_.window);
     const double before = sent.since(now - rule_.window);
     return before + cost <= budget || (before <= 0 && chance * cost <= kCautionByChance * budget);
   }
@@ -134,7 +134,7 @@
  private:
   // The rate is an estimate from few sessions; and chance strays from what it makes on the whole.
   static constexpr double kCaution = 0.75, kCautionByChance = 0.67;
-  ColdRule rule_;
+  ColdStartLimits rule_;
 };
 
 // How often each host is probed: every interval of the design, or as seldom as it takes for probes to cost a
@@ -156,7 +156,7 @@
  private:
   static constexpr double kShare = 0.02;
   std::optional<double> price_;
-  FadingSum taken_;
+  DecayingSum taken_;
 };
 
 // Adaptive throttling: where most dials of late failed, whatever the host, the cause is shared, and each
@@ -176,7 +176,7 @@
 
  private:
   static constexpr double kDialsForAccepted = 2, kFew = 2;  // a few failures say nothing of a shared cause
-  FadingSum ended_{2 * kProbeEvery}, accepted_{2 * kProbeEvery};
+  DecayingSum ended_{2 * kProbeEvery}, accepted_{2 * kProbeEvery};
 };
 
 struct Host : HostFacts {
@@ -211,23 +211,24 @@
  public:
   Dials(const Listener& listener, unsigned most) : listener_(listener), most_(most) {}
   bool again(const Session& s, Micros now) const {
-    if (s.dials >= most_ || now >= s.taken.valid_until) return false;
+    if (s.dials >= most_ || now >= s.taken.deadline) return false;
     if (!s.may_have_run || listener_.effect == Effect::repeatable) return true;
-    return listener_.effect == Effect::referenced && now < s.ran_at + listener_.memory;
+    return listener_.effect == Effect::referenced && now < s.ran_at + listener_.dedup_window;
   }
   bool at(const Session& s, const Host& h) const {
     if (!s.may_have_run || listener_.effect != Effect::referenced) return true;
-    return listener_.reach == Reach::all || (listener_.reach == Reach::zone && h.zone == s.ran_zone) ||
-           (listener_.reach == Reach::cell && h.cell == s.ran_cell);
+    return listener_.dedup_scope == DedupScope::all ||
+           (listener_.dedup_scope == DedupScope::zone && h.zone == s.ran_zone) ||
+           (listener_.dedup_scope == DedupScope::cell && h.cell == s.ran_cell);
   }
   bool may_refuse(const Session& s) const {
     if (!s.may_have_run || listener_.effect == Effect::repeatable) return true;
-    return listener_.effect == Effect::referenced && listener_.reach == Reach::all;
+    return listener_.effect == Effect::referenced && listener_.dedup_scope == DedupScope::all;
   }
   // Leaves room for another dial before the handshake target; the last one has all the time there is. Where
   // dials time out at one host after the other the cause is shared, and dialling again would feed it.
   Micros limit(const Session& s, Micros now, unsigned patience, bool another) const {
-    const Micros left = s.taken.valid_until - now;
+    const Micros left = s.taken.deadline - now;
     return s.dials + 1 >= most_ || !another ? left
                                             : std::min(left, listener_.handshake_target / 2 * patience);
   }
@@ -286,8 +287,9 @@
 
 class Decisions final : public Balancer {
  public:
-  Decisions(Outlet& out, std::uint64_t seed, unsigned nodes, ZoneId zone, std::vector<Listener> listeners,
-            DialLimits dials, ColdRule cold, ListRule list, Prices prices)
+  Decisions(BalancerActions& out, std::uint64_t seed, unsigned nodes, ZoneId zone,
+            std::vector<Listener> listeners, DialLimits dials, ColdStartLimits cold, ListPolicy list,
+            Prices prices)
       : out_(out),
         chance_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> 32))),
         nodes_(std::max(1u, nodes)),
@@ -295,48 +297,49 @@
         listeners_(std::move(listeners)),
         message_target_(shortest_message_target(listeners_)),
         dial_limits_(dials),
-        budget_(dials.further),
+        budget_(dials.retry_budget),
         guard_(cold),
-        ended_load_(4 * cold.warm_within),
-        load_time_(4 * cold.warm_within),
-        full_time_(4 * cold.warm_within),
+        ended_load_(4 * cold.warm_up),
+        load_time_(4 * cold.warm_up),
+        full_time_(4 * cold.warm_up),
         list_(list),
-        crossing_price_(prices.crossing),
+        crossing_price_(prices.zone_crossing),
         pace_(prices.probe),
         rotation_(chance_()),
         usual_(listeners_.size()) {}
 
-  void at(Micros now) override {
+  void set_time(Micros now) override {
     now_ = now;
     if (began_ != kNever) return;
     began_ = quiet_since_ = now;
     // The list serves all nodes: they don't ask it all at once, which fails for most where they are many.
-    if (list_.asked) ask_list_at_ = now_ + spread(std::min(list_.ask_every / 2, kBeat * (nodes_ - 1)));
-    out_.wake(spread(kBeat), WakeId{0});
+    if (list_.on_request)
+      ask_list_at_ = now_ + spread(std::min(list_.poll_interval / 2, kBeat * (nodes_ - 1)));
+    out_.set_timer(spread(kBeat), TimerId{0});
   }
 
-  void nodes_are(unsigned nodes) override { nodes_ = std::max(1u, nodes); }
+  void set_node_count(unsigned nodes) override { nodes_ = std::max(1u, nodes); }
 
-  void settings_are(std::vector<Listener> listeners, unsigned most_dials, Prices prices) override {
+  void update_settings(std::vector<Listener> listeners, unsigned most_dials, Prices prices) override {
     listeners_ = std::move(listeners);
-    dial_limits_.most = most_dials;
-    crossing_price_ = prices.crossing;
+    dial_limits_.max_dials = most_dials;
+    crossing_price_ = prices.zone_crossing;
     pace_.price_is(prices.probe);
   }
 
-  Sess take(SessId id, const Taken& taken) override {
+  SessionHandle start_session(SessId id, const SessionRequest& taken) override {
     Session fresh(id, taken, usual_load(taken));
-    fresh.give_up_at = std::min(now_ + listeners_[taken.listener.value].handshake_target, taken.valid_until);
+    fresh.give_up_at = std::min(now_ + listeners_[taken.listener.value].handshake_target, taken.deadline);
     if (taken.client) fresh.load = sent_away_.of(*taken.client, now_ - kQuietRest).value_or(fresh.load);
     const SlabKey key = sessions_.add(fresh);
     budget_.took(now_);
     // Repeats and returns would make a storm look like more sessions.
-    if (!taken.returned && !taken.repeat) pace_.took(now_);
+    if (!taken.is_reconnect && !taken.is_retry) pace_.took(now_);
     place(key, *sessions_.find(key));
     return {this, key};
   }
 
-  Sess inherit(SessId id, const Taken& taken, HostId host) override {
+  SessionHandle adopt_session(SessId id, const SessionRequest& taken, HostId host) override {
     Session s(id, taken, usual_load(taken));
     s.dialed(host, now_);
     const SlabKey key = sessions_.add(s);
@@ -346,7 +349,7 @@
 
   bool live(SlabKey key) const override { return sessions_.has(key); }
 
-  void accepted(SlabKey key, DialNo dial) override {
+  void dial_accepted(SlabKey key, DialNo dial) override {
     Session* s = sessions_.find(key);
     if (!s || !current(*s, dial)) return;
     if (Host* h = hosts_.find(s->host)) {
@@ -359,51 +362,52 @@
     if (s->state == State::dialing) open(*s);
   }
 
-  void ended(SlabKey key, DialNo dial, Ending how, bool over) override {
+  void dial_ended(SlabKey key, DialNo dial, DialOutcome how, bool over) override {
     Session* s = sessions_.find(key);
     if (!s || !current(*s, dial)) return;
     s->dial_out = false;
     Host* h = hosts_.find(s->host);
     if (s->state == State::open) {
       if (h) h->closed(s->load, s->taken.group);
-      if (!s->moved && how != Ending::broken) ended_load_.add(now_, s->load);
+      if (!s->moved && how != DialOutcome::connection_lost) ended_load_.add(now_, s->load);
       // A connection that broke off is a failure of its host, unless that was on its way out. A host that
       // sheds load may report little just after: it gets nothing until a report shows it below suspension.
-      if (h && h->usable() && how == Ending::broken) {
+      if (h && h->usable() && how == DialOutcome::connection_lost) {
         set_aside(*h);
         h->shedding = pace_.allowed();  // where none can come, the pause has to do
       }
-      sessions_.drop(key);
+      sessions_.release(key);
       return;
     }
     if (h) {
       --h->dialing;
       h->sent.add(now_, -s->charged);
-      if (how == Ending::finished)
+      if (how == DialOutcome::completed)
         h->silence.sign(now_);
-      else if (how != Ending::cancelled && how != Ending::unsent &&
-               !(how == Ending::timed_out && patience_ > 1)) {
+      else if (how != DialOutcome::cancelled && how != DialOutcome::not_sent &&
+               !(how == DialOutcome::timed_out && patience_ > 1)) {
         set_aside(*h);  // where dials time out elsewhere too, the host is not what fails
-        if (how == Ending::timed_out || how == Ending::unconnected) h->way.met(now_, false);
+        if (how == DialOutcome::timed_out || how == DialOutcome::connect_failed) h->way.met(now_, false);
         look_ = look_ || h->way.bad();
       }
     }
-    if (how == Ending::timed_out || how == Ending::erred) throttle_.ended(now_, false);
-    if (how == Ending::timed_out) patience_ = std::min(2 * patience_, kMostPatience);
-    const bool proven = how == Ending::turned_away || how == Ending::unconnected || how == Ending::unsent;
+    if (how == DialOutcome::timed_out || how == DialOutcome::error_reply) throttle_.ended(now_, false);
+    if (how == DialOutcome::timed_out) patience_ = std::min(2 * patience_, kMostPatience);
+    const bool proven =
+        how == DialOutcome::rejected || how == DialOutcome::connect_failed || how == DialOutcome::not_sent;
     if (!proven) s->ran(h ? h->zone : ZoneId{}, h ? h->cell : CellId{});
-    if (over || s->state == State::over) return sessions_.drop(key);
+    if (over || s->state == State::over) return sessions_.release(key);
     place(key, *s);
   }
 
-  void left(SlabKey key) override {
+  void client_left(SlabKey key) override {
     Session* s = sessions_.find(key);
     if (!s || s->state == State::open) return;
     s->state = State::over;
-    if (!s->dial_out) sessions_.drop(key);
+    if (!s->dial_out) sessions_.release(key);
   }
 
-  void load_is(SlabKey key, double load) override {
+  void set_load(SlabKey key, double load) override {
     Session* s = sessions_.find(key);
     if (!s || s->state != State::open) return;
     if (Host* h = hosts_.find(s->host)) h->own_load += load - s->load;
@@ -413,7 +417,7 @@
   }
 
   // Work piled up at a host makes its messages late long after its reported load has fallen.
-  void messages_take(SlabKey key, Micros delay) override {
+  void set_message_delay(SlabKey key, Micros delay) override {
     Session* s = sessions_.find(key);
     Host* h = s && s->state == State::open ? hosts_.find(s->host) : nullptr;
     if (!h) return;
@@ -422,7 +426,7 @@
     mark(*h);
   }
 
-  void woken(WakeId wake) override {
+  void timer_expired(TimerId wake) override {
     if (wake.value == 0) return beat();
     const SlabKey key = SlabKey::unpacked(wake.value);
     Session* s = sessions_.find(key);
@@ -431,34 +435,35 @@
     if (s->state == State::held) place(key, *s);
   }
 
-  void probed(HostId id, Ending how, Micros took, const LoadReport& r) override {
+  void probe_ended(HostId id, DialOutcome how, Micros took, const LoadReport& r) override {
     Host* h = hosts_.find(id);
     if (!h) return;
-    const bool answered = how == Ending::finished;
-    if (how != Ending::erred && how != Ending::turned_away)  // these came back: the way is well
+    const bool answered = how == DialOutcome::completed;
+    if (how != DialOutcome::error_reply && how != DialOutcome::rejected)  // these came back: the way is well
       h->way.met(now_, answered && (message_target_ == Micros{0} || took <= message_target_) &&
                            r.load.value_or(0) < kCrippled);
     look_ = look_ || h->way.bad();
     if (answered) note_report(*h, r);  // a failed probe keeps the mark
     if (!std::exchange(h->asking, false)) return;
     held_.clear();
-    sessions_.each([&](SlabKey key, const Session& s) {
+    sessions_.for_each([&](SlabKey key, const Session& s) {
       if (s.state == State::held && s.host == id) held_.push_back(key);
     });
     for (const SlabKey key : held_)
       if (Session* s = sessions_.find(key)) place(key, *s);
   }
 
-  void list_begins(bool whole) override {
+  void begin_list(bool whole) override {
     listing_whole_ = whole;
     if (!whole) return;
     for (Host& h : hosts_) h.listed = false;
   }
 
-  void listed(HostId id, ZoneId zone, CellId cell, Standing standing, double share, Micros started) override {
+  void list_host(HostId id, ZoneId zone, CellId cell, HostStatus standing, double share,
+                 Micros started) override {
     Host* h = hosts_.find(id);
     if (!h) {
-      if (standing == Standing::gone) return;
+      if (standing == HostStatus::removed) return;
       h = &hosts_.add(Host(id));
       h->probe_due = std::generate_canonical<double, 32>(chance_);
     } else if (started > h->started) {
@@ -471,12 +476,12 @@
     }
     // A share that falls as its host fills makes an empty one many times the size of its like: a cold host's
     // budget.
-    look_ = look_ || standing == Standing::draining;
-    h->tell(zone, cell, standing, list_.shares_are_sizes ? share : 1, started, now_,
+    look_ = look_ || standing == HostStatus::draining;
+    h->tell(zone, cell, standing, list_.weights_are_capacities ? share : 1, started, now_,
             list_.only_draining_binds);
   }
 
-  void list_ends() override {
+  void end_list() override {
     list_wait_ = kProbeEvery;
     list_stale_ = false;
     if (std::exchange(listing_whole_, false))
@@ -486,7 +491,7 @@
       if (h.own || h.dialing || h.off_list == kNever) return false;
       // Where a list may be wrong, a host that it lacks may come back on it, and one that drained as well.
       const bool over = h.missing() ? !worth_asking(h) : now_ - h.off_list >= forget_after();
-      if (over) out_.forget(h.id);
+      if (over) out_.forget_host(h.id);
       return over;
     });
   }
@@ -495,7 +500,7 @@
   void list_failed() override {
     out_.log("the list failed, asking again soon");
     ask_list_at_ = now_ + list_wait_ / 2 + spread(list_wait_);
-    list_wait_ = std::min(2 * list_wait_, std::max(kProbeEvery, list_.ask_every / 4));
+    list_wait_ = std::min(2 * list_wait_, std::max(kProbeEvery, list_.poll_interval / 4));
   }
 
   // Hosts may drain unheard of. Sessions wait for the list as for any host.
@@ -503,8 +508,8 @@
     out_.log("the list is stale, sending nothing until it comes");
     list_stale_ = true;
   }
-  void list_fresh() override { list_stale_ = false; }
-  bool may_send(HostId id) override {
+  void list_usable() override { list_stale_ = false; }
+  bool may_dial(HostId id) override {
     const Host* h = hosts_.find(id);
     return h && h->usable() && !list_stale_;
   }
@@ -528,21 +533,21 @@
 
   static bool current(const Session& s, DialNo dial) { return s.dial_out && dial.value + 1 == s.dials; }
 
-  double usual_load(const Taken& t) const {
+  double usual_load(const SessionRequest& t) const {
     double all = 0, known = 0;
-    for (const FadingMean& m : usual_) {
-      all += m.or_else(0);
+    for (const DecayingMean& m : usual_) {
+      all += m.value_or(0);
       known += m.known() ? 1 : 0;
     }
-    return usual_[t.listener.value].or_else(known > 0 ? all / known : t.usual_load.value_or(1));
+    return usual_[t.listener.value].value_or(known > 0 ? all / known : t.expected_load.value_or(1));
   }
 
   void note_report(Host& h, const LoadReport& r) {
     h.silence.sign(now_);
-    const std::optional<double> load = r.load ? r.load : r.busy;
+    const std::optional<double> load = r.load ? r.load : r.cpu_usage;
     if (!load) return;
     // Where no piled-up work is reported, the load's own forecast stands for it, with capacity as its peak.
-    const std::optional<double> piled = r.piled_up ? r.piled_up : r.queued;
+    const std::optional<double> piled = r.backlog ? r.backlog : r.queued_sessions;
     h.forecast.report(now_, *load, piled.value_or(*load), piled ? 0 : 1);
     mark(h);
   }
@@ -742,15 +747,15 @@
   }
 
   void place(SlabKey key, Session& s) {
-    const Dials dials(listeners_[s.taken.listener.value], dial_limits_.most);
+    const Dials dials(listeners_[s.taken.listener.value], dial_limits_.max_dials);
     s.state = State::held;
     // Where the rules ration further dials and none is left, waiting for one would hold the answer back.
-    if (!dials.again(s, now_)) return give_up(key, s, dials, Refusal::no_dials_left);
-    if (s.dials > 0 && !budget_.allows(now_)) return give_up(key, s, dials, Refusal::no_budget_left);
-    if (full() && heavy(s)) return give_up(key, s, dials, Refusal::fleet_full);
+    if (!dials.again(s, now_)) return give_up(key, s, dials, RefusalReason::no_dials_left);
+    if (s.dials > 0 && !budget_.allows(now_)) return give_up(key, s, dials, RefusalReason::no_budget_left);
+    if (full() && heavy(s)) return give_up(key, s, dials, RefusalReason::fleet_full);
     const double held_back = throttle_.share_held_back(now_);
     if (held_back > 0 && dials.may_refuse(s) && std::generate_canonical<double, 32>(chance_) < held_back)
-      return give_up(key, s, dials, Refusal::throttled);
+      return give_up(key, s, dials, RefusalReason::throttled);
     Host* h = choose(s, dials);
     if (!h) {
       const bool all_full = !list_stale_ && std::any_of(hosts_.begin(), hosts_.end(), [&](const Host& x) {
@@ -764,8 +769,8 @@
         full_at_ = now_;
       }
       if (now_ >= s.give_up_at || all_full || s.dials > 0) {
-        const Refusal no_choice = all_full ? Refusal::fleet_full : Refusal::no_host;
-        return give_up(key, s, dials, list_stale_ ? Refusal::list_stale : no_choice);
+        const RefusalReason no_choice = all_full ? RefusalReason::fleet_full : RefusalReason::no_host;
+        return give_up(key, s, dials, list_stale_ ? RefusalReason::list_stale : no_choice);
       }
       return hold(key, s);
     }
@@ -793,7 +798,7 @@
 
   void hold(SlabKey key, Session& s) {
     if (!std::exchange(s.waiting, true))
-      out_.wake(std::min(kBeat, s.give_up_at - now_), WakeId{key.packed()});
+      out_.set_timer(std::min(kBeat, s.give_up_at - now_), TimerId{key.packed()});
   }
 
   // Where probes are seldom, the host offered is asked before the dial unless its report is current. Guards
@@ -814,19 +819,19 @@
       if (h.usable() && load_of(h) >= kFullAt - kLightAt) move_off(h, h.own_load * kLightAt, Leaving::heavy);
   }
 
-  void give_up(SlabKey key, Session& s, const Dials& dials, Refusal why) {
+  void give_up(SlabKey key, Session& s, const Dials& dials, RefusalReason why) {
     if (dials.may_refuse(s))
-      out_.refuse(s.id, std::min(dial_limits_.longest_stay_away, spread(kProbeEvery)), why);
+      out_.refuse(s.id, std::min(dial_limits_.max_retry_after, spread(kProbeEvery)), why);
     else
       out_.tear_down(s.id, why);
-    sessions_.drop(key);
+    sessions_.release(key);
   }
 
   void beat() {
-    out_.wake(kBeat, WakeId{0});
+    out_.set_timer(kBeat, TimerId{0});
     if (ask_list_at_ != kNever && now_ >= ask_list_at_) {
       ask_list_at_ = kNever;
-      out_.watch();
+      out_.watch_list();
     }
     probe_every_ = own_every_ = idle_every_ =
         pace_.interval(now_, began_, static_cast<double>(hosts_.size()));
@@ -848,8 +853,8 @@
       Host& h = hosts_[i];
       counted_ += holds_own(h) ? 1 : 0;
       own_load += h.own_load;
-      h.sent.fade_by(every(h));
-      h.way.fade_by(2 * every(h));
+      h.sent.set_half_life(every(h));
+      h.way.set_half_life(2 * every(h));
       if (!pace_.allowed() || !h.usable() || !worth_asking(h)) continue;
       if ((h.probe_due += turns * ratio(kBeat, every(h))) < 1) continue;
       h.probe_due -= 1;
@@ -860,8 +865,8 @@
       leave_bad_ways();
       // A host on its way out is the heaviest there can be: own connections leave it, a part at each beat.
       for (Host& h : hosts_) {
-        look_ = look_ || h.standing == Standing::draining || h.way.bad();
-        if (h.standing == Standing::draining && h.own)
+        look_ = look_ || h.standing == HostStatus::draining || h.way.bad();
+        if (h.standing == HostStatus::draining && h.own)
           move_off(h, h.own_load / kBeatsPerProbe, Leaving::drain);
       }
     }
@@ -937,7 +942,7 @@
   // group, those that every node thinks least suited to the host. For relief, the least utility for its load.
   bool move_off(Host& from, double load, Leaving why) {
     leaving_.clear();
-    sessions_.each([&](SlabKey, Session& s) {
+    sessions_.for_each([&](SlabKey, Session& s) {
       if (s.state != State::open || s.moved || s.host != from.id) return;
       if (why == Leaving::relief)
         return leaving_.push_back({listeners_[s.taken.listener.value].utility / std::max(s.load, 1e-9), &s});
@@ -985,26 +990,26 @@
                           kHeavy = 2, kOneCore = 1e-6, kIdleProbes = 0.125, kFewOfGroup = 2, kPriorOwn = 8,
                           kFewestHosts = 3, kCrippled = 2;
 
-  Outlet& out_;
+  BalancerActions& out_;
   std::knuth_b chance_;
   unsigned nodes_;
   ZoneId zone_;
   std::vector<Listener> listeners_;
   Micros message_target_;  // the shortest
   DialLimits dial_limits_;
-  DialBudget budget_;
+  RetryBudget budget_;
   ColdGuard guard_;
   // Of own sessions that ended of themselves; of all, in load seconds; and the hosts that all load fills.
-  FadingSum ended_load_, load_time_, full_time_;
-  ListRule list_;
+  DecayingSum ended_load_, load_time_, full_time_;
+  ListPolicy list_;
   double crossing_price_;
   ProbePace pace_;
   Micros probe_every_ = kProbeEvery, own_every_ = kProbeEvery, idle_every_ = kProbeEvery;
   Rotation rotation_;
-  std::vector<FadingMean> usual_;
+  std::vector<DecayingMean> usual_;
   ClientLoads sent_away_;
   DialThrottle throttle_;
-  FadingSum under_way_{kProbeEvery};  // load moved off bad ways that is not back yet
+  DecayingSum under_way_{kProbeEvery};  // load moved off bad ways that is not back yet
   HostsById<Host> hosts_;
   std::vector<std::pair<double, Host*>> order_;
   std::vector<std::pair<double, Session*>> leaving_;
@@ -1024,9 +1029,9 @@
 
 }  // namespace
 
-std::unique_ptr<Balancer> make_balancer(Outlet& outlet, std::uint64_t seed, unsigned nodes, ZoneId zone,
-                                        std::vector<Listener> listeners, DialLimits dials, ColdRule cold,
-                                        ListRule list, Prices prices) {
+std::unique_ptr<Balancer> make_balancer(BalancerActions& outlet, std::uint64_t seed, unsigned nodes,
+                                        ZoneId zone, std::vector<Listener> listeners, DialLimits dials,
+                                        ColdStartLimits cold, ListPolicy list, Prices prices) {
   return std::make_unique<Decisions>(outlet, seed, nodes, zone, std::move(listeners), dials, cold, list,
                                      prices);
 }
--- a/src/changes/carrier.cpp
+++ b/src/changes/carrier.cpp
@@ -43,7 +43,7 @@
   seeds_ = std::move(seeds);
   for (Change& c : kept) adopt(std::move(c), "kept");
   rounds_ = 0;
-  woken(WakeId{turn_ << 2 | static_cast<std::uint64_t>(Due::seeds)});
+  woken(TimerId{turn_ << 2 | static_cast<std::uint64_t>(Due::seeds)});
   wake(spread(kRest), Due::rest);
 }
 
@@ -52,7 +52,7 @@
   decode(bytes, fleet_, *this);
 }
 
-void Carrier::woken(WakeId w) {
+void Carrier::woken(TimerId w) {
   const auto due = static_cast<Due>(w.value & 3);
   if (due == Due::rest) {
     wake(spread(kRest), Due::rest);
@@ -172,7 +172,7 @@
   // Refused or not it is passed on: another node may run what this one can't.
   ++turn_;
   rounds_ = kRounds;
-  woken(WakeId{turn_ << 2 | static_cast<std::uint64_t>(Due::tell)});
+  woken(TimerId{turn_ << 2 | static_cast<std::uint64_t>(Due::tell)});
 }
 
 void Carrier::ask_came(const Sender&, std::uint64_t nonce) {
--- a/src/changes/carrier.h
+++ b/src/changes/carrier.h
@@ -18,7 +18,7 @@
  public:
   virtual ~Outlet() = default;
   virtual void send(const Address& to, std::string_view bytes) = 0;  // may be lost
-  virtual void wake(Micros in, WakeId wake) = 0;
+  virtual void wake(Micros in, TimerId wake) = 0;
   // Puts so many members drawn by chance behind `to`: of this node's own zone, and of others.
   virtual void draw(std::size_t near, std::size_t far, std::vector<Address>& to) = 0;
   // Takes it whole and at once, or changes nothing and says why.
@@ -36,7 +36,7 @@
   // Takes what was kept, the older first, and asks the seeds for what is newer.
   void begin(std::vector<Change> kept, std::vector<Address> seeds);
   void received(const Address& from, std::string_view bytes);
-  void woken(WakeId wake);
+  void woken(TimerId wake);
   const Status& status() const { return status_; }
 
  private:
@@ -58,7 +58,7 @@
   void fetch();
   void tell(std::size_t near, std::size_t far);
   bool send(const Address& to, const std::string& bytes);
-  void wake(Micros in, Due due) { outlet_.wake(in, WakeId{turn_ << 2 | static_cast<std::uint64_t>(due)}); }
+  void wake(Micros in, Due due) { outlet_.wake(in, TimerId{turn_ << 2 | static_cast<std::uint64_t>(due)}); }
   Micros spread(Micros around);
   Sender me() const { return {fleet_, name_, told_}; }
 
--- a/src/host.h
+++ b/src/host.h
@@ -46,7 +46,7 @@
   HostId id;
   ZoneId zone;
   CellId cell;
-  Standing standing = Standing::in;
+  HostStatus standing = HostStatus::active;
   double share = 1;  // its size beside the others'
   Micros started{0};
   bool listed = false;
@@ -57,18 +57,18 @@
   double own_load = 0;  // their load, in microseconds of work a second
   unsigned dialing = 0;
   GroupCount groups;
-  FadingSum sent;  // load sent lately, which the reports may not show yet
-  RecentSum cold_sent;
+  DecayingSum sent;  // load sent lately, which the reports may not show yet
+  SlidingSum cold_sent;
   Micros delay{0}, delay_at = kNever;  // of messages, as last noted
 
   // An older list may come again: a start is never taken back, and where only draining binds nothing but a
   // restart ends it.
-  void tell(ZoneId z, CellId c, Standing now_is, double size, Micros since, Micros now,
+  void tell(ZoneId z, CellId c, HostStatus now_is, double size, Micros since, Micros now,
             bool only_draining_binds) {
     listed = true;
-    if (now_is == Standing::gone) return list_lacks_it(now, only_draining_binds);
-    drained = now_is == Standing::draining || (drained && only_draining_binds && since <= started);
-    standing = drained ? Standing::draining : now_is;
+    if (now_is == HostStatus::removed) return list_lacks_it(now, only_draining_binds);
+    drained = now_is == HostStatus::draining || (drained && only_draining_binds && since <= started);
+    standing = drained ? HostStatus::draining : now_is;
     off_list = kNever;
     zone = z;
     cell = c;
@@ -76,11 +76,11 @@
     started = std::max(started, since);
   }
   void list_lacks_it(Micros now, bool only_draining_binds) {
-    if (!only_draining_binds || drained) standing = Standing::gone;
+    if (!only_draining_binds || drained) standing = HostStatus::removed;
     if (off_list == kNever) off_list = now;
   }
   bool missing() const { return usable() && off_list != kNever; }
-  bool usable() const { return standing == Standing::in; }
+  bool usable() const { return standing == HostStatus::active; }
   bool holds(std::optional<GroupId> g) const { return g && groups.of(*g) > 0; }
   void opened(double load, std::optional<GroupId> g) {
     ++own;
--- a/src/ids.h
+++ b/src/ids.h
@@ -24,6 +24,6 @@
 using GroupId = Id<struct GroupTag, std::uint64_t>;
 using ClientKey = Id<struct ClientKeyTag, std::uint64_t>;
 using DialNo = Id<struct DialTag, std::uint32_t>;
-using WakeId = Id<struct WakeTag, std::uint64_t>;
+using TimerId = Id<struct TimerTag, std::uint64_t>;
 
 }  // namespace flintweir
--- a/src/lab/checks/checker.cpp
+++ b/src/lab/checks/checker.cpp
@@ -122,27 +122,27 @@
   h.cold_sent.push_back({now, load, knows});
 }
 
-void Checker::told(NodeNo node, MachineNo teller, HostNo host, Standing standing, Micros started,
+void Checker::told(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros started,
                    Micros now) {
   Node& n = nodes_[node.value];
   Node::Start& last = n.told_start[host.value];
   if (now < last.told_at) return;  // something newer has been told since
   last = {now, started};
-  if (standing == Standing::in)
+  if (standing == HostStatus::active)
     n.told_away.erase(host.value);
-  else if (standing == Standing::draining || !only_draining_binds_)
+  else if (standing == HostStatus::draining || !only_draining_binds_)
     n.told_away.emplace(host.value, Node::Away{now, teller, now});
 }
 
-void Checker::counts_as_told(NodeNo node, MachineNo teller, HostNo host, Standing standing, Micros had,
+void Checker::counts_as_told(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros had,
                              Micros at) {
   Node& n = nodes_[node.value];
   Node::Start& last = n.told_start[host.value];
   if (!n.up || last.told_at >= had) return;  // it was told of that, or of something newer
   last.told_at = had;
-  if (standing == Standing::in)
+  if (standing == HostStatus::active)
     n.told_away.erase(host.value);
-  else if (standing == Standing::draining || !only_draining_binds_)
+  else if (standing == HostStatus::draining || !only_draining_binds_)
     n.told_away.emplace(host.value, Node::Away{at, teller, had});
 }
 
@@ -175,8 +175,9 @@
     if (!s->open.value) breaks(Rule::answer, id, *s, now, "it was accepted with a receipt that no host gave");
   }
   if (answer != Answer::busy) return;
-  const bool harmless = s->listener.effect == Effect::repeatable ||
-                        (s->listener.effect == Effect::referenced && s->listener.reach == Reach::all);
+  const bool harmless =
+      s->listener.effect == Effect::repeatable ||
+      (s->listener.effect == Effect::referenced && s->listener.dedup_scope == DedupScope::all);
   for (const Dial& d : s->dials) {
     if (!harmless && may_have_run(d))
       breaks(Rule::effect, id, *s, now,
@@ -300,11 +301,11 @@
   if (first && s->listener.effect == Effect::referenced) {
     const Host& ran = hosts_[first->host.value];
     if (now - first->came >
-            s->listener.memory + slack(*s, nullptr) + 2 * paths_.longest(node.machine, h.machine) &&
+            s->listener.dedup_window + slack(*s, nullptr) + 2 * paths_.longest(node.machine, h.machine) &&
         paths_.sound(node.machine, h.machine, first->came))
       breaks(Rule::effect, id, *s, now, "it was dialled again when hosts no longer remembered it");
-    if ((s->listener.reach == Reach::zone && ran.zone != h.zone) ||
-        (s->listener.reach == Reach::cell && ran.cell != h.cell))
+    if ((s->listener.dedup_scope == DedupScope::zone && ran.zone != h.zone) ||
+        (s->listener.dedup_scope == DedupScope::cell && ran.cell != h.cell))
       breaks(Rule::effect, id, *s, now, "it was dialled again outside the hosts that remember it");
   }
   Dial d;
--- a/src/lab/checks/checker.h
+++ b/src/lab/checks/checker.h
@@ -74,9 +74,9 @@
   // It has tipped over while it was cold.
   void host_tipped(HostNo host, Micros now);
   // An answer of discovery has been written out, from that machine.
-  void told(NodeNo node, MachineNo teller, HostNo host, Standing standing, Micros started, Micros now);
+  void told(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros started, Micros now);
   // What discovery has since `had` counts as told to that node from `at` on, whether or not it was.
-  void counts_as_told(NodeNo node, MachineNo teller, HostNo host, Standing standing, Micros had, Micros at);
+  void counts_as_told(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros had, Micros at);
 
   // What a client does and sees.
   void asked(SessionNo id, NodeNo node, MachineNo client, const Listener& listener, Micros patience,
--- a/src/lab/faults/plan.cpp
+++ b/src/lab/faults/plan.cpp
@@ -16,8 +16,8 @@
                                 : Effect::repeatable;
 }
 
-Reach reach_of(const std::string& name) {
-  return name == "zone" ? Reach::zone : name == "cell" ? Reach::cell : Reach::all;
+DedupScope reach_of(const std::string& name) {
+  return name == "zone" ? DedupScope::zone : name == "cell" ? DedupScope::cell : DedupScope::all;
 }
 
 void pair_of(Fields& f, std::string_view key, Micros (&out)[2], Micros least, Micros most) {
@@ -120,8 +120,8 @@
   if (out.rules.dial_timeout < out.rules.handshake_target)
     f.bad("dial_timeout", "is under the handshake target");
   out.rules.effect = effect_of(f.word("effect", "repeatable", {"repeatable", "referenced", "once-only"}));
-  out.rules.reach = reach_of(f.word("reach", "all", {"all", "zone", "cell"}));
-  out.rules.memory = f.time("memory", 2s);
+  out.rules.dedup_scope = reach_of(f.word("reach", "all", {"all", "zone", "cell"}));
+  out.rules.dedup_window = f.time("memory", 2s);
   out.rules.utility = f.number("utility", 1, 0, 1e6);
   out.load = f.number("load", 1, 0.001, 1000);
   out.life = f.number("life", 1, 0.001, 1000);
@@ -155,7 +155,8 @@
     all += out.listeners.back().share;
   }
   if (out.listeners.empty())
-    out.listeners.push_back({"chat", 1, {500ms, 2s, Effect::repeatable, Reach::all, 2s, 1, 150ms}, 1, 1});
+    out.listeners.push_back(
+        {"chat", 1, {500ms, 2s, Effect::repeatable, DedupScope::all, 2s, 1, 150ms}, 1, 1});
   else if (all <= 0)
     listeners.back().bad("share", "no listener has a share over zero");
   return out;
--- a/src/lab/fleet/rig_virtual.cpp
+++ b/src/lab/fleet/rig_virtual.cpp
@@ -16,7 +16,7 @@
   std::vector<std::string> wrong, names{"chat"};
   if (node % 2 == 0) names.emplace_back("even");
   setup::Running own;
-  own.listeners.assign(names.size(), Listener{500ms, 2s, Effect::repeatable, Reach::all, 1s, 1});
+  own.listeners.assign(names.size(), Listener{500ms, 2s, Effect::repeatable, DedupScope::all, 1s, 1});
   own.dials = DialLimits{4, 0us};
   own.prices = Prices{0, 0.0};
   const auto text = setup::ChangeText::of_text(change.text, "change", wrong);
--- a/src/lab/leases/lease_search.cpp
+++ b/src/lab/leases/lease_search.cpp
@@ -202,7 +202,7 @@
     void send_request(VoterIndex v, const Request& r) override {
       world.fly({v.value, no, false, r.kind, {}, r.token, {}, r.round, r.duration, {}});
     }
-    void set_timer(Micros delay, WakeId timer) override { due = world.clock(no) + delay, due_id = timer; }
+    void set_timer(Micros delay, TimerId timer) override { due = world.clock(no) + delay, due_id = timer; }
     void on_acquired(Token token) override { world.held(no, token); }
     void on_lost(Token, std::string_view) override {}
     void on_waiting(std::string_view) override {}
@@ -210,12 +210,12 @@
     std::uint32_t no;
     Candidate seeker;
     std::optional<Micros> due;
-    WakeId due_id;
+    TimerId due_id;
   };
   // Nothing that a copy does may reach the state that it was copied from.
   struct Nobody final : Candidate::Delegate {
     void send_request(VoterIndex, const Request&) override {}
-    void set_timer(Micros, WakeId) override {}
+    void set_timer(Micros, TimerId) override {}
     void on_acquired(Token) override {}
     void on_lost(Token, std::string_view) override {}
     void on_waiting(std::string_view) override {}
--- a/src/lab/models/baselines.cpp
+++ b/src/lab/models/baselines.cpp
@@ -18,7 +18,7 @@
   HostId id;
   ZoneId zone;
   CellId cell;
-  Standing standing = Standing::in;
+  HostStatus standing = HostStatus::active;
   bool listed = false;
   unsigned own = 0;
 };
@@ -37,8 +37,8 @@
 
 class Plain final : public Balancer {
  public:
-  Plain(Way way, Outlet& out, std::uint64_t seed, std::vector<Listener> listeners, unsigned most_dials,
-        Micros ask_every)
+  Plain(Way way, BalancerActions& out, std::uint64_t seed, std::vector<Listener> listeners,
+        unsigned most_dials, Micros ask_every)
       : way_(way),
         out_(out),
         chance_(static_cast<std::knuth_b::result_type>(seed | 1)),
@@ -46,23 +46,23 @@
         most_dials_(most_dials),
         ask_every_(ask_every) {}
 
-  void settings_are(std::vector<Listener>, unsigned, Prices) override {}
-  void nodes_are(unsigned) override {}
-  void at(Micros now) override {
+  void update_settings(std::vector<Listener>, unsigned, Prices) override {}
+  void set_node_count(unsigned) override {}
+  void set_time(Micros now) override {
     now_ = now;
     if (std::exchange(begun_, true)) return;
-    out_.wake(0us, WakeId{1});
+    out_.set_timer(0us, TimerId{1});
   }
-  Sess take(SessId id, const Taken& taken) override {
+  SessionHandle start_session(SessId id, const SessionRequest& taken) override {
     PlainSession s;
     s.id = id;
     s.listener = taken.listener;
-    s.valid_until = taken.valid_until;
+    s.valid_until = taken.deadline;
     const SlabKey key = sessions_.add(s);
     place(key, *sessions_.find(key));
     return {this, key};
   }
-  Sess inherit(SessId id, const Taken& taken, HostId host) override {
+  SessionHandle adopt_session(SessId id, const SessionRequest& taken, HostId host) override {
     PlainSession s;
     s.id = id;
     s.listener = taken.listener;
@@ -72,24 +72,24 @@
     if (PlainHost* h = find(host)) ++h->own;
     return {this, sessions_.add(s)};
   }
-  void woken(WakeId wake) override {
-    if (wake.value == 1) return out_.watch();
+  void timer_expired(TimerId wake) override {
+    if (wake.value == 1) return out_.watch_list();
     // Clients leave a draining host all at once.
-    sessions_.each([&](SlabKey, PlainSession& s) {
+    sessions_.for_each([&](SlabKey, PlainSession& s) {
       const PlainHost* h = find(s.host);
-      if (s.open && !s.moved && h && h->standing == Standing::draining) {
+      if (s.open && !s.moved && h && h->standing == HostStatus::draining) {
         s.moved = true;
         out_.move(s.id);
       }
     });
   }
-  void probed(HostId, Ending, Micros, const LoadReport&) override {}
-  void list_begins(bool whole) override {
+  void probe_ended(HostId, DialOutcome, Micros, const LoadReport&) override {}
+  void begin_list(bool whole) override {
     whole_ = whole;
     if (whole)
       for (PlainHost& h : hosts_) h.listed = false;
   }
-  void listed(HostId id, ZoneId zone, CellId cell, Standing standing, double, Micros) override {
+  void list_host(HostId id, ZoneId zone, CellId cell, HostStatus standing, double, Micros) override {
     PlainHost* h = find(id);
     if (!h) h = &hosts_.emplace_back();
     h->id = id;
@@ -97,46 +97,47 @@
     h->cell = cell;
     h->standing = standing;
     h->listed = true;
-    if (standing == Standing::draining) out_.wake(0us, WakeId{2});
+    if (standing == HostStatus::draining) out_.set_timer(0us, TimerId{2});
   }
-  void list_ends() override {
+  void end_list() override {
     if (whole_)
       for (PlainHost& h : hosts_)
-        if (!h.listed) h.standing = Standing::gone;
+        if (!h.listed) h.standing = HostStatus::removed;
   }
   void list_stale() override {}
-  void list_fresh() override {}
-  bool may_send(HostId) override { return true; }
-  void list_failed() override { out_.wake(std::min<Micros>(1s, ask_every_ / 4), WakeId{1}); }
+  void list_usable() override {}
+  bool may_dial(HostId) override { return true; }
+  void list_failed() override { out_.set_timer(std::min<Micros>(1s, ask_every_ / 4), TimerId{1}); }
 
  private:
   bool live(SlabKey key) const override { return sessions_.has(key); }
-  void accepted(SlabKey key, DialNo dial) override {
+  void dial_accepted(SlabKey key, DialNo dial) override {
     if (PlainSession* s = current(key, dial)) s->open = s->ran = true;
   }
-  void ended(SlabKey key, DialNo dial, Ending how, bool over) override {
+  void dial_ended(SlabKey key, DialNo dial, DialOutcome how, bool over) override {
     PlainSession* const s = current(key, dial);
     if (!s) return;
     s->out = false;
     PlainHost* const h = find(s->host);
     if (h && h->own > 0) --h->own;
-    if (s->open) return sessions_.drop(key);
-    const bool proven = how == Ending::turned_away || how == Ending::unconnected || how == Ending::unsent;
+    if (s->open) return sessions_.release(key);
+    const bool proven =
+        how == DialOutcome::rejected || how == DialOutcome::connect_failed || how == DialOutcome::not_sent;
     if (!proven && !std::exchange(s->ran, true)) {
       s->ran_at = now_;
       s->ran_host = s->host;
     }
-    if (over || s->over) return sessions_.drop(key);
+    if (over || s->over) return sessions_.release(key);
     place(key, *s);
   }
-  void left(SlabKey key) override {
+  void client_left(SlabKey key) override {
     PlainSession* const s = sessions_.find(key);
     if (!s || s->open) return;
     s->over = true;
-    if (!s->out) sessions_.drop(key);
+    if (!s->out) sessions_.release(key);
   }
-  void load_is(SlabKey, double) override {}
-  void messages_take(SlabKey, Micros) override {}
+  void set_load(SlabKey, double) override {}
+  void set_message_delay(SlabKey, Micros) override {}
 
   PlainHost* find(HostId id) {
     const auto it =
@@ -148,17 +149,18 @@
     return s && s->out && dial.value + 1 == s->dials ? s : nullptr;
   }
   bool may(const PlainSession& s, const PlainHost& h) {
-    if (h.standing != Standing::in) return false;
+    if (h.standing != HostStatus::active) return false;
     const Listener& l = listeners_[s.listener.value];
-    if (!s.ran || l.effect != Effect::referenced || l.reach == Reach::all) return true;
+    if (!s.ran || l.effect != Effect::referenced || l.dedup_scope == DedupScope::all) return true;
     const PlainHost* const ran = find(s.ran_host);
-    return ran && (l.reach == Reach::zone ? ran->zone == h.zone : ran->cell == h.cell);
+    return ran && (l.dedup_scope == DedupScope::zone ? ran->zone == h.zone : ran->cell == h.cell);
   }
   void place(SlabKey key, PlainSession& s) {
     const Listener& l = listeners_[s.listener.value];
     // From the dial on, hosts remember it for so long; the dial's own limit is the safest guess at its start.
-    const bool again = !s.ran || l.effect == Effect::repeatable ||
-                       (l.effect == Effect::referenced && now_ + l.handshake_target < s.ran_at + l.memory);
+    const bool again =
+        !s.ran || l.effect == Effect::repeatable ||
+        (l.effect == Effect::referenced && now_ + l.handshake_target < s.ran_at + l.dedup_window);
     PlainHost* best = nullptr;
     if (again && s.dials < most_dials_ && now_ < s.valid_until) {
       std::vector<PlainHost*> fit;
@@ -173,10 +175,11 @@
     }
     if (!best) {
       const bool harmless = !s.ran || l.effect == Effect::repeatable ||
-                            (l.effect == Effect::referenced && l.reach == Reach::all);
+                            (l.effect == Effect::referenced && l.dedup_scope == DedupScope::all);
       const SessId id = s.id;
-      sessions_.drop(key);
-      return harmless ? out_.refuse(id, 0us, Refusal::no_host) : out_.tear_down(id, Refusal::no_host);
+      sessions_.release(key);
+      return harmless ? out_.refuse(id, 0us, RefusalReason::no_host)
+                      : out_.tear_down(id, RefusalReason::no_host);
     }
     s.host = best->id;
     if (s.dials < s.tried.size()) s.tried[s.dials] = best->id;
@@ -187,7 +190,7 @@
   }
 
   Way way_;
-  Outlet& out_;
+  BalancerActions& out_;
   std::knuth_b chance_;
   std::vector<Listener> listeners_;
   unsigned most_dials_;
@@ -203,7 +206,8 @@
 node::MakeBalancer balancer_named(const std::string& name) {
   if (name == "module") return setup::balancer_for;
   const Way way = name == "random" ? Way::random : name == "round-robin" ? Way::in_turn : Way::fewest;
-  return [way](const setup::Values& settings, Outlet& out, std::uint64_t seed) -> std::unique_ptr<Balancer> {
+  return [way](const setup::Values& settings, BalancerActions& out,
+               std::uint64_t seed) -> std::unique_ptr<Balancer> {
     const setup::Values ceilings(settings, "ceilings"), rules(settings, "rules");
     return std::make_unique<Plain>(way, out, seed, setup::listeners(settings),
                                    static_cast<unsigned>(ceilings.real("maxDials", 1)),
--- a/src/lab/models/host_server.cpp
+++ b/src/lab/models/host_server.cpp
@@ -34,7 +34,7 @@
 void HostServer::connection_waits() {
   for (net::Accepted next = sockets_.network().accept(); next.how == net::Io::done;
        next = sockets_.network().accept()) {
-    const SlabKey key = calls_.lend(*this);
+    const SlabKey key = calls_.acquire(*this);
     Call& c = *calls_.find(key);
     c.key = key;
     c.phase = Call::Phase::first;
@@ -217,7 +217,7 @@
   free(c);
 }
 
-void HostServer::free(Call& c) { calls_.drop(c.key); }
+void HostServer::free(Call& c) { calls_.release(c.key); }
 
 void HostServer::woken(std::uint64_t t) {
   const Due due = static_cast<Due>(t >> 28 & 15);
@@ -242,7 +242,7 @@
   model_.drain();
   if (plan_.sends_away == SendsAway::keeps) return;
   std::vector<SlabKey> open;
-  calls_.each([&](SlabKey key, Call& c) {
+  calls_.for_each([&](SlabKey key, Call& c) {
     if (c.phase == Call::Phase::open) open.push_back(key);
   });
   const Micros over = plan_.sends_away == SendsAway::at_once ? 0us : plan_.leaves_after / 2;
@@ -253,7 +253,7 @@
 
 void HostServer::resume() {
   std::vector<SlabKey> all;
-  calls_.each([&](SlabKey key, Call&) { all.push_back(key); });
+  calls_.for_each([&](SlabKey key, Call&) { all.push_back(key); });
   for (const SlabKey key : all) {
     if (Call* c = calls_.find(key); c && c->phase == Call::Phase::answering) {
       c->answer = HostModel::Answer::busy;  // its time is long up
@@ -264,7 +264,7 @@
 }
 
 void HostServer::die() {
-  calls_.each([](SlabKey, Call& c) { c.stream.abort(); });
+  calls_.for_each([](SlabKey, Call& c) { c.stream.abort(); });
 }
 
 }  // namespace flintweir::lab
--- a/src/lab/models/list_model.h
+++ b/src/lab/models/list_model.h
@@ -15,7 +15,7 @@
     std::string name, endpoint, zone;
     unsigned cell = 0;
     double share = 1;
-    Standing standing = Standing::in;
+    HostStatus standing = HostStatus::active;
     Micros started{0};
   };
   struct Change {
@@ -49,7 +49,7 @@
       std::erase_if(out, [&](const Entry& e) { return e.name == c.entry.name; });
       out.push_back(c.entry);
     }
-    if (version == 0) std::erase_if(out, [](const Entry& e) { return e.standing == Standing::gone; });
+    if (version == 0) std::erase_if(out, [](const Entry& e) { return e.standing == HostStatus::removed; });
     return out;
   }
   // When the next change becomes known; max: none is under way.
--- a/src/lab/models/list_server.cpp
+++ b/src/lab/models/list_server.cpp
@@ -10,8 +10,8 @@
 
 constexpr Micros kArrives = 20ms;  // what was written, unless the other side has gone
 
-const char* state_of(Standing s) {
-  return s == Standing::in ? "SERVING" : s == Standing::draining ? "DRAINING" : "DELETED";
+const char* state_of(HostStatus s) {
+  return s == HostStatus::active ? "SERVING" : s == HostStatus::draining ? "DRAINING" : "DELETED";
 }
 
 std::uint64_t number_after(std::string_view text, std::string_view key, std::uint64_t other) {
@@ -43,7 +43,7 @@
 void ListServer::connection_waits() {
   for (net::Accepted next = sockets_.network().accept(); next.how == net::Io::done;
        next = sockets_.network().accept()) {
-    const SlabKey key = calls_.lend(*this);
+    const SlabKey key = calls_.acquire(*this);
     Call& c = *calls_.find(key);
     c.key = key;
     c.written.clear();
@@ -106,7 +106,7 @@
     c.written.clear();
     c.written_at = now;
     for (const ListModel::Entry& e : list_.since(since, now)) {
-      if (e.standing == Standing::in)
+      if (e.standing == HostStatus::active)
         told_(e, now);
       else
         c.written.push_back(e);
@@ -137,7 +137,7 @@
 
 void ListServer::changed() {
   std::vector<SlabKey> all;
-  calls_.each([&](SlabKey key, Call&) { all.push_back(key); });
+  calls_.for_each([&](SlabKey key, Call&) { all.push_back(key); });
   for (const SlabKey key : all) {
     Call* const c = calls_.find(key);
     if (!c) continue;
@@ -151,12 +151,12 @@
 }
 
 void ListServer::close_all() {
-  calls_.each([](SlabKey, Call& c) { c.stream.abort(); });
+  calls_.for_each([](SlabKey, Call& c) { c.stream.abort(); });
 }
 
 void ListServer::free(Call& c) {
   c.stream.close();
-  calls_.drop(c.key);
+  calls_.release(c.key);
 }
 
 }  // namespace flintweir::lab
--- a/src/lab/reports/scale_module.cpp
+++ b/src/lab/reports/scale_module.cpp
@@ -34,36 +34,36 @@
   return static_cast<double>(info.uordblks + info.hblkhd) / 1024;
 }
 
-struct Alone final : Outlet {
+struct Alone final : BalancerActions {
   void dial(SessId, HostId host, Micros) override { dialled = host; }
-  void refuse(SessId, Micros, Refusal) override {}
-  void tear_down(SessId, Refusal) override {}
+  void refuse(SessId, Micros, RefusalReason) override {}
+  void tear_down(SessId, RefusalReason) override {}
   void move(SessId) override { ++moved; }
   void probe(HostId host) override { probes.push_back(host); }
-  void wake(Micros in, WakeId wake) override { wakes.emplace(now + in, wake); }
-  void watch() override {}
-  void forget(HostId) override {}
+  void set_timer(Micros in, TimerId wake) override { wakes.emplace(now + in, wake); }
+  void watch_list() override {}
+  void forget_host(HostId) override {}
   void log(std::string_view) override {}
   void log(std::string_view, HostId) override {}
   void pass(Balancer& b, Micros by, double load) {
     for (const Micros end = now + by; now < end;) {
       now += 25ms;
-      b.at(now);
+      b.set_time(now);
       while (!wakes.empty() && wakes.begin()->first <= now) {
-        const WakeId wake = wakes.begin()->second;
+        const TimerId wake = wakes.begin()->second;
         wakes.erase(wakes.begin());
-        b.woken(wake);
+        b.timer_expired(wake);
       }
       for (const HostId h : std::exchange(probes, {})) {
         LoadReport r;
         r.load = load;
-        b.probed(h, Ending::finished, 1ms, r);
+        b.probe_ended(h, DialOutcome::completed, 1ms, r);
       }
     }
   }
   Micros now = 1h;
   std::optional<HostId> dialled;
-  std::multimap<Micros, WakeId> wakes;
+  std::multimap<Micros, TimerId> wakes;
   std::vector<HostId> probes;
   unsigned moved = 0;
 };
@@ -71,14 +71,15 @@
 // One node of so many, with so many hosts listed in five zones.
 std::unique_ptr<Balancer> balancer_with(Alone& outlet, unsigned hosts, unsigned nodes, double price,
                                         std::uint64_t seed) {
-  auto out = make_balancer(outlet, seed, nodes, ZoneId{0},
-                           {Listener{500ms, 2s, Effect::repeatable, Reach::all, 1s, 1}}, DialLimits{3, 0us},
-                           ColdRule{7s, 0.3, 3, 1500ms}, ListRule{true, 10s}, Prices{0.1, price});
-  out->at(outlet.now);
-  out->list_begins(true);
+  auto out = make_balancer(
+      outlet, seed, nodes, ZoneId{0}, {Listener{500ms, 2s, Effect::repeatable, DedupScope::all, 1s, 1}},
+      DialLimits{3, 0us}, ColdStartLimits{7s, 0.3, 3, 1500ms}, ListPolicy{true, 10s}, Prices{0.1, price});
+  out->set_time(outlet.now);
+  out->begin_list(true);
   for (std::uint64_t h = 1; h <= hosts; ++h)
-    out->listed(HostId{mix(h)}, ZoneId{static_cast<std::uint32_t>(h % 5)}, CellId{0}, Standing::in, 1, 0us);
-  out->list_ends();
+    out->list_host(HostId{mix(h)}, ZoneId{static_cast<std::uint32_t>(h % 5)}, CellId{0}, HostStatus::active,
+                   1, 0us);
+  out->end_list();
   return out;
 }
 
@@ -99,7 +100,7 @@
   const double before = held_kib();
   std::map<std::uint64_t, std::set<std::uint64_t>> holds;  // by group
   std::map<std::uint64_t, unsigned> on;                    // by host
-  std::vector<Sess> open(sessions);
+  std::vector<SessionHandle> open(sessions);
   std::vector<std::pair<HostId, std::uint64_t>> at(sessions);
   const unsigned last = std::min(sessions, 1000u);
   double spent = 0;
@@ -108,16 +109,16 @@
     const double drawn = std::generate_canonical<double, 53>(chance) * all;
     const auto group =
         static_cast<std::uint64_t>(std::lower_bound(sums.begin(), sums.end(), drawn) - sums.begin());
-    Taken taken{};
-    taken.valid_until = outlet.now + 2s;
+    SessionRequest taken{};
+    taken.deadline = outlet.now + 2s;
     taken.group = GroupId{mix(group + 1)};
     outlet.dialled.reset();
     const double from = cpu_us();
-    Sess s = balancer->take(SessId{i}, taken);
+    SessionHandle s = balancer->start_session(SessId{i}, taken);
     if (!outlet.dialled) continue;
-    s.accepted(DialNo{0});
+    s.dial_accepted(DialNo{0});
     if (i + last >= sessions) spent += cpu_us() - from, ++timed;
-    s.load_is(50'000.0 / std::max(1u, sessions));
+    s.set_load(50'000.0 / std::max(1u, sessions));
     open[i] = s;
     at[i] = {*outlet.dialled, group};
     holds[group].insert(outlet.dialled->value);
@@ -140,7 +141,7 @@
   // That host dies: its sessions break, and come back.
   for (unsigned i = 0; i < sessions; ++i) {
     if (at[i].first.value != most.second || !open[i].live()) continue;
-    open[i].ended(DialNo{0}, Ending::broken, true);
+    open[i].dial_ended(DialNo{0}, DialOutcome::connection_lost, true);
     ++out.moved;
   }
   return out;
@@ -149,38 +150,38 @@
 double probes_a_second(unsigned hosts, double rate, double price, std::uint64_t seed) {
   Alone outlet;
   const auto balancer = balancer_with(outlet, hosts, 500, price, seed);
-  std::deque<std::pair<Micros, Sess>> open;
+  std::deque<std::pair<Micros, SessionHandle>> open;
   double owed = 0, sent = 0;
   std::uint64_t id = 0;
   const Micros from = outlet.now + 60s, to = from + 30s;
   while (outlet.now < to) {
     outlet.now += 25ms;
-    balancer->at(outlet.now);
+    balancer->set_time(outlet.now);
     while (!outlet.wakes.empty() && outlet.wakes.begin()->first <= outlet.now) {
-      const WakeId wake = outlet.wakes.begin()->second;
+      const TimerId wake = outlet.wakes.begin()->second;
       outlet.wakes.erase(outlet.wakes.begin());
-      balancer->woken(wake);
+      balancer->timer_expired(wake);
     }
     for (const HostId h : std::exchange(outlet.probes, {})) {
       sent += outlet.now >= from ? 1 : 0;
       LoadReport r;
       r.load = 0.4;
-      balancer->probed(h, Ending::finished, 1ms, r);
+      balancer->probe_ended(h, DialOutcome::completed, 1ms, r);
     }
     for (owed += rate * 0.025; owed >= 1; --owed) {
-      Taken taken{};
-      taken.valid_until = outlet.now + 2s;
+      SessionRequest taken{};
+      taken.deadline = outlet.now + 2s;
       outlet.dialled.reset();
-      Sess s = balancer->take(SessId{++id}, taken);
+      SessionHandle s = balancer->start_session(SessId{++id}, taken);
       if (!outlet.dialled) {
-        if (s.live()) s.left();
+        if (s.live()) s.client_left();
         continue;
       }
-      s.accepted(DialNo{0});
+      s.dial_accepted(DialNo{0});
       open.emplace_back(outlet.now + 10s, s);
     }
     for (; !open.empty() && open.front().first <= outlet.now; open.pop_front())
-      open.front().second.ended(DialNo{0}, Ending::finished, true);
+      open.front().second.dial_ended(DialNo{0}, DialOutcome::completed, true);
   }
   return sent / 30;
 }
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -113,7 +113,7 @@
   }
   for (HostUnit& h : hosts_) {
     start_host(h, false);
-    list_host(h, Standing::in, 0us);
+    list_host(h, HostStatus::active, 0us);
   }
   // On their machines: the front with the clients of the first zone's, so that no link lies between.
   for (std::uint32_t z = 0; z <= zones; ++z) {
@@ -193,7 +193,7 @@
   log_.line(now(), "host-down host=%s", h.name.c_str());
 }
 
-void World::list_host(const HostUnit& h, Standing standing, Micros late) {
+void World::list_host(const HostUnit& h, HostStatus standing, Micros late) {
   list_.change({h.name, to_text(stage_.address(h.machine)), experiment_.fleet.zones[h.zone.value],
                 h.cell.value, h.share, standing, h.model->started()},
                now() + late);
@@ -227,10 +227,10 @@
                          {"effect", r.effect == Effect::repeatable   ? "repeatable"
                                     : r.effect == Effect::referenced ? "by_key"
                                                                      : "once"},
-                         {"group", r.reach == Reach::all    ? "all"
-                                   : r.reach == Reach::zone ? "zone"
-                                                            : "cell"},
-                         {"dedupWindow", us(r.memory)},
+                         {"group", r.dedup_scope == DedupScope::all    ? "all"
+                                   : r.dedup_scope == DedupScope::zone ? "zone"
+                                                                       : "cell"},
+                         {"dedupWindow", us(r.dedup_window)},
                          {"utility", r.utility}});
   }
   double target = 1e18;
@@ -367,12 +367,12 @@
   for (const HostUnit& h : hosts_) {
     if (!h.up || h.lost || h.leaving || uniform() >= f.size) continue;
     called_gone.emplace_back(h.no.value, h.turn);
-    list_host(h, Standing::gone, 1us);
+    list_host(h, HostStatus::removed, 1us);
   }
   stage_.at(now() + f.lasts, [this, called_gone] {
     for (const auto& [no, turn] : called_gone)
       if (const HostUnit& h = hosts_[no]; h.turn == turn && !h.leaving && !h.lost)
-        list_host(h, Standing::in, 1us);
+        list_host(h, HostStatus::active, 1us);
   });
 }
 
@@ -399,15 +399,15 @@
   const std::uint64_t turn = h.turn;
   h.server->drain();
   log_.line(now(), "draining host=%s", h.name.c_str());
-  list_host(h, Standing::draining, between(experiment_.list.late));
+  list_host(h, HostStatus::draining, between(experiment_.list.late));
   stage_.at(now() + experiment_.host.leaves_after, [this, &h, turn] {
     if (h.turn != turn) return;
     end_host(h);
-    list_host(h, Standing::gone, between(experiment_.list.late));
+    list_host(h, HostStatus::removed, between(experiment_.list.late));
     stage_.at(now() + kStartsAgain, [this, &h, after = h.turn] {
       if (h.turn != after) return;
       start_host(h, true);
-      list_host(h, Standing::in, between(experiment_.list.late));
+      list_host(h, HostStatus::active, between(experiment_.list.late));
     });
   });
 }
@@ -423,12 +423,12 @@
     if (!h->up || h->lost) return;
     if (f.kind == "host-dies") {
       end_host(*h);
-      list_host(*h, Standing::gone, between(experiment_.list.late));
+      list_host(*h, HostStatus::removed, between(experiment_.list.late));
     } else if (f.kind == "host-lost") {
       h->lost = true;
       stage_.lose(h->machine);
       checker_.host_silent(h->no, true, now());
-      list_host(*h, Standing::gone, 3 * experiment_.list.late[1]);
+      list_host(*h, HostStatus::removed, 3 * experiment_.list.late[1]);
     } else if (f.kind == "host-hangs") {
       h->model->hang(true);
       checker_.host_silent(h->no, true, now());
@@ -519,7 +519,7 @@
     }
     if (f.kind == "host-dies" || f.kind == "host-lost") {
       start_host(h, true);
-      return list_host(h, Standing::in, between(experiment_.list.late));
+      return list_host(h, HostStatus::active, between(experiment_.list.late));
     }
     if (f.kind == "host-hangs") {
       h.model->hang(false);
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -83,7 +83,7 @@
   void build();
   void start_host(HostUnit& h, bool cold);
   void end_host(HostUnit& h);
-  void list_host(const HostUnit& h, Standing standing, Micros late);
+  void list_host(const HostUnit& h, HostStatus standing, Micros late);
   void deploy(HostUnit& h);
   void serve_list(NodeUnit& n);
   std::string config(const NodeUnit& n) const;
--- a/src/leases/candidate.cpp
+++ b/src/leases/candidate.cpp
@@ -98,7 +98,7 @@
 }
 
 void Candidate::wake(Micros in, Due due) {
-  delegate_.set_timer(in, WakeId{++turn_ << 8 | static_cast<std::uint64_t>(due)});
+  delegate_.set_timer(in, TimerId{++turn_ << 8 | static_cast<std::uint64_t>(due)});
 }
 
 bool Candidate::majority(std::uint64_t who) const {
@@ -148,7 +148,7 @@
        now_ < end_ ? Due::renew : Due::end);
 }
 
-void Candidate::timer_expired(WakeId timer) {
+void Candidate::timer_expired(TimerId timer) {
   if (timer.value >> 8 != turn_) return;
   const auto due = static_cast<Due>(timer.value & 0xff);
   if (due != Due::again) {
--- a/src/leases/candidate.h
+++ b/src/leases/candidate.h
@@ -19,7 +19,7 @@
    public:
     virtual ~Delegate() = default;
     virtual void send_request(VoterIndex voter, const Request& request) = 0;  // may be lost
-    virtual void set_timer(Micros delay, WakeId timer) = 0;
+    virtual void set_timer(Micros delay, TimerId timer) = 0;
     virtual void on_acquired(Token token) = 0;
     virtual void on_lost(Token token, std::string_view why) = 0;
     virtual void on_waiting(
@@ -54,7 +54,7 @@
   // Asks for it no more, and tells the voters as soon as no act is open.
   void release();
   void on_reply(VoterIndex voter, const Reply& reply);
-  void timer_expired(WakeId timer);
+  void timer_expired(TimerId timer);
   // Whoever was acted on has seen a larger token.
   void observe_token(Token token) { seen_ = std::max(seen_, token); }
 
--- a/src/line/host_conn.cpp
+++ b/src/line/host_conn.cpp
@@ -37,7 +37,7 @@
 }
 
 void HostConn::connected(Stream&, ConnectResult result) {
-  if (result != ConnectResult::established) return end(Ending::unconnected);
+  if (result != ConnectResult::established) return end(DialOutcome::connect_failed);
   if (!owner_.still_wanted()) return;
   phase_ = Phase::sending;
   if (!time_left_.empty()) {
@@ -80,7 +80,7 @@
   const auto line = stream_.in().line();
   if (!line) {
     if (stream_.at_end()) return broken(stream_);
-    if (stream_.in().held().size() >= kLongestLine) return end(Ending::erred);
+    if (stream_.in().held().size() >= kLongestLine) return end(DialOutcome::error_reply);
     return stream_.want_read();
   }
   std::string_view rest;
@@ -88,26 +88,28 @@
     case HostMessage::up:
       return owner_.host_accepted();
     case HostMessage::bye:
-      return end(Ending::finished);
+      return end(DialOutcome::completed);
     case HostMessage::move:
-      return end(Ending::cancelled);
+      return end(DialOutcome::cancelled);
     case HostMessage::busy:
-      return end(Ending::turned_away);
+      return end(DialOutcome::rejected);
     default:
-      return end(Ending::erred);
+      return end(DialOutcome::error_reply);
   }
 }
 
-void HostConn::broken(Stream&) { end(phase_ == Phase::sent ? Ending::broken : Ending::unconnected); }
+void HostConn::broken(Stream&) {
+  end(phase_ == Phase::sent ? DialOutcome::connection_lost : DialOutcome::connect_failed);
+}
 
 void HostConn::woken(std::uint64_t t) {
-  if (t == token(Due::connect) && phase_ == Phase::connecting) return end(Ending::unconnected);
+  if (t == token(Due::connect) && phase_ == Phase::connecting) return end(DialOutcome::connect_failed);
   if (t != token(Due::limit)) return;
-  if (phase_ == Phase::failed) return end(Ending::unsent);
-  if (out()) end(phase_ == Phase::sent ? Ending::timed_out : Ending::unconnected);
+  if (phase_ == Phase::failed) return end(DialOutcome::not_sent);
+  if (out()) end(phase_ == Phase::sent ? DialOutcome::timed_out : DialOutcome::connect_failed);
 }
 
-void HostConn::end(Ending how) {
+void HostConn::end(DialOutcome how) {
   give_up();
   owner_.dial_ended(how);
 }
--- a/src/line/host_conn.h
+++ b/src/line/host_conn.h
@@ -16,8 +16,8 @@
   virtual bool still_wanted() = 0;  // before the first byte; where not, the dial has been given up
   // Before each further part, until the last byte is out: a dial begins with that. Where not, as above.
   virtual bool client_waits() = 0;
-  virtual void host_accepted() = 0;         // the UP line lies unread in the stream
-  virtual void dial_ended(Ending how) = 0;  // the connection is closed
+  virtual void host_accepted() = 0;              // the UP line lies unread in the stream
+  virtual void dial_ended(DialOutcome how) = 0;  // the connection is closed
 
  protected:
   ~HostOwner() = default;
@@ -46,7 +46,7 @@
   void woken(std::uint64_t token) override;
   std::uint64_t token(Due due) const { return use_ << 1 | static_cast<std::uint64_t>(due); }
   void send();
-  void end(Ending how);
+  void end(DialOutcome how);
 
   Stream stream_;
   Wakes& wakes_;
--- a/src/line/probes.cpp
+++ b/src/line/probes.cpp
@@ -13,7 +13,7 @@
 
 void Probes::ask(HostId host, const Address* at) {
   const auto [it, fresh] = by_host_.try_emplace(host.value);
-  if (fresh) it->second = probes_.lend(*this);
+  if (fresh) it->second = probes_.acquire(*this);
   probes_.find(it->second)->ask(host, at);
 }
 
@@ -21,7 +21,7 @@
   const auto it = by_host_.find(host.value);
   if (it == by_host_.end()) return;
   probes_.find(it->second)->drop();
-  probes_.drop(it->second);
+  probes_.release(it->second);
   by_host_.erase(it);
 }
 
@@ -93,7 +93,7 @@
   // What nobody asked for is no answer to the next question.
   if (!asking_) return stream_.close();
   if (stream_.open()) stream_.want_read();
-  end(pong ? Ending::finished : Ending::erred, report);
+  end(pong ? DialOutcome::completed : DialOutcome::error_reply, report);
 }
 
 void Probes::Probe::broken(Stream&) {
@@ -105,16 +105,16 @@
     if (!stream_.connect(at_, *this)) probes_.wakes_.after(Micros{0}, *this, token_);
     return;
   }
-  end(Ending::broken, {});
+  end(DialOutcome::connection_lost, {});
 }
 
 void Probes::Probe::woken(std::uint64_t token) {
   if (token != token_ || !asking_) return;
   stream_.close();  // an answer that comes later must not be taken for the next one's
-  end(Ending::timed_out, {});
+  end(DialOutcome::timed_out, {});
 }
 
-void Probes::Probe::end(Ending how, const LoadReport& report) {
+void Probes::Probe::end(DialOutcome how, const LoadReport& report) {
   ++token_;
   asking_ = false;
   probes_.told_.probed(host_, how, probes_.wakes_.now() - asked_at_, report);
--- a/src/line/probes.h
+++ b/src/line/probes.h
@@ -17,7 +17,7 @@
  public:
   class Told {
    public:
-    virtual void probed(HostId host, Ending how, Micros took, const LoadReport& report) = 0;
+    virtual void probed(HostId host, DialOutcome how, Micros took, const LoadReport& report) = 0;
 
    protected:
     ~Told() = default;
@@ -47,7 +47,7 @@
     void woken(std::uint64_t token) override;
     void send();
     void send_rest();
-    void end(Ending how, const LoadReport& report);
+    void end(DialOutcome how, const LoadReport& report);
 
     Probes& probes_;
     Stream stream_;
--- a/src/line/protocol.cpp
+++ b/src/line/protocol.cpp
@@ -44,7 +44,7 @@
 }
 
 // Whatever a host might not read is turned away here: passed on, it would cost that host's good name.
-bool OpenLineParser::parse(std::string_view line, Micros now, Taken& taken, ConnectionId& given,
+bool OpenLineParser::parse(std::string_view line, Micros now, SessionRequest& taken, ConnectionId& given,
                            std::string_view& at, std::string_view& time_left) const {
   constexpr double kMost = 1e9;
   if (!printable(line) || cut(line, ' ') != "OPEN") return false;
@@ -78,9 +78,9 @@
       else
         taken.client = ClientKey{setup::key_of(value)};
     } else if (name == "r") {
-      if (!flag(value, taken.repeat)) return false;
+      if (!flag(value, taken.is_retry)) return false;
     } else if (name == "again") {
-      if (!flag(value, taken.returned)) return false;
+      if (!flag(value, taken.is_reconnect)) return false;
     } else if (name == "at") {
       if (!once(8)) return false;
       at = value;
@@ -88,7 +88,7 @@
       const auto n = number(value);
       if (!n || *n < 0 || *n > kMost) return false;
       if (name == "h")
-        taken.usual_load = *n;
+        taken.expected_load = *n;
       else
         taken.tenant.value = static_cast<std::uint32_t>(*n);
     }
@@ -97,7 +97,7 @@
   const Micros most = dial_timeouts_[taken.listener.value];
   const Micros wait = seen & 2 ? Micros(std::chrono::milliseconds(std::min(millis, kMostMillis))) : most;
   // One that is open already may be long in coming; nobody else waits longer than the listener has it.
-  taken.valid_until = now + (at.empty() ? std::min(wait, most) : wait);
+  taken.deadline = now + (at.empty() ? std::min(wait, most) : wait);
   return true;
 }
 
--- a/src/line/protocol.h
+++ b/src/line/protocol.h
@@ -23,7 +23,7 @@
   // Decodes `line` (without its end) into `taken` and `id`; `at` is the host that holds the connection
   // already, if any, and `time_left` the digits within the line that tell how long the client waits. False:
   // malformed, as a host would find it.
-  bool parse(std::string_view line, Micros now, Taken& taken, ConnectionId& id, std::string_view& at,
+  bool parse(std::string_view line, Micros now, SessionRequest& taken, ConnectionId& id, std::string_view& at,
              std::string_view& time_left) const;
 
  private:
--- a/src/line/proxy_session.cpp
+++ b/src/line/proxy_session.cpp
@@ -23,8 +23,8 @@
 
 void ProxySession::begin(SlabKey key, SocketKey socket) {
   key_ = key;
-  handle_ = Sess();
-  taken_ = Taken{};
+  handle_ = SessionHandle();
+  taken_ = SessionRequest{};
   logged_id_ = {};
   time_left_ = {};
   at_ = HostId{};
@@ -57,14 +57,14 @@
     at_ = HostId{setup::id_of(at)};
     return dial_holder();
   }
-  const Sess handle = sessions_.balancer_now().take(SessId{key_.packed()}, taken_);
+  const SessionHandle handle = sessions_.balancer_now().start_session(SessId{key_.packed()}, taken_);
   if (!answered_) handle_ = handle;
 }
 
 void ProxySession::dial(HostId host, Micros within) {
   at_ = host;
   ++dials_;
-  const Micros left = taken_.valid_until - sessions_.wakes_.now();
+  const Micros left = taken_.deadline - sessions_.wakes_.now();
   const Micros limit = within > 0us ? std::min(within, left) : left;
   const HostTable::Host* h = sessions_.hosts_.find(host);
   if (dials_ > 1)
@@ -78,7 +78,7 @@
   if (!answered_) dial(at_, 0us);
 }
 
-void ProxySession::answer(std::string_view line, Reason reason, std::optional<Refusal> refusal) {
+void ProxySession::answer(std::string_view line, Reason reason, std::optional<RefusalReason> refusal) {
   answered_ = true;
   log_end(code_of(reason), refusal);
   client_.answer(line);
@@ -95,8 +95,8 @@
   host_.give_up();
   if (handle_.live()) {
     sessions_.balancer_now();
-    handle_.left();
-    if (dialling) handle_.ended(dial_no(), Ending::cancelled, true);
+    handle_.client_left();
+    if (dialling) handle_.dial_ended(dial_no(), DialOutcome::cancelled, true);
   }
   // It may have ended only its sending; then this is its one final answer.
   answer("ERR\r\n", Reason::left);
@@ -122,9 +122,9 @@
 
 bool ProxySession::still_wanted() {
   if (!client_waits()) return false;
-  if (inherited_ || sessions_.balancer_now().may_send(at_)) return true;
+  if (inherited_ || sessions_.balancer_now().may_dial(at_)) return true;
   host_.give_up();
-  dial_ended(Ending::unsent);
+  dial_ended(DialOutcome::not_sent);
   return false;
 }
 
@@ -132,48 +132,49 @@
   open_ = answered_ = true;
   Balancer& balancer = sessions_.balancer_now();
   if (inherited_)
-    handle_ = balancer.inherit(SessId{key_.packed()}, taken_, at_);
+    handle_ = balancer.adopt_session(SessId{key_.packed()}, taken_, at_);
   else
-    handle_.accepted(dial_no());
+    handle_.dial_accepted(dial_no());
   relay_.start(client_.accepted(), host_.accepted());
   // Too late for its turn among the others.
   if (sessions_.leaving_ && sessions_.wakes_.now() >= sessions_.move_from_) move(Reason::restarting);
 }
 
-void ProxySession::dial_ended(Ending how) {
+void ProxySession::dial_ended(DialOutcome how) {
   log_end(code_of(how));
-  if (how == Ending::turned_away || how == Ending::unconnected) sessions_.probes_.give_way(at_);
+  if (how == DialOutcome::rejected || how == DialOutcome::connect_failed) sessions_.probes_.give_way(at_);
   if (!inherited_) {
     sessions_.balancer_now();
-    return handle_.ended(dial_no(), how, false);
+    return handle_.dial_ended(dial_no(), how, false);
   }
-  const bool never_ran = how == Ending::unconnected || how == Ending::turned_away || how == Ending::unsent;
-  if (!never_ran || sessions_.wakes_.now() + kHolderAgain >= taken_.valid_until)
+  const bool never_ran =
+      how == DialOutcome::connect_failed || how == DialOutcome::rejected || how == DialOutcome::not_sent;
+  if (!never_ran || sessions_.wakes_.now() + kHolderAgain >= taken_.deadline)
     return answer(never_ran ? "BUSY\r\n" : "ERR\r\n", never_ran ? Reason::refused : Reason::torn_down);
   sessions_.again(key_, kHolderAgain);
 }
 
 void ProxySession::load_is(double micros_per_s) {
   sessions_.balancer_now();
-  handle_.load_is(micros_per_s);
+  handle_.set_load(micros_per_s);
 }
 
 void ProxySession::message_took(Micros delay) {
   if (!sessions_.delay_counts(at_, delay)) return;
   sessions_.balancer_now();
-  handle_.messages_take(delay);
+  handle_.set_message_delay(delay);
 }
 
-void ProxySession::relay_over(Ending how, Reason why) {
+void ProxySession::relay_over(DialOutcome how, Reason why) {
   open_ = false;
   log_end(code_of(why));
   sessions_.balancer_now();
-  handle_.ended(dial_no(), how, true);
+  handle_.dial_ended(dial_no(), how, true);
 }
 
 void ProxySession::relay_closed() { free(); }
 
-void ProxySession::log_end(const char* code, std::optional<Refusal> refusal) {
+void ProxySession::log_end(const char* code, std::optional<RefusalReason> refusal) {
   const auto ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(sessions_.wakes_.now() - began_).count();
   log_line("end %s id=%s client=%016llx host=%s listener=%u dials=%u ms=%lld%s%s", code, logged_id_.text(),
--- a/src/line/proxy_session.h
+++ b/src/line/proxy_session.h
@@ -20,7 +20,7 @@
   void begin(SlabKey key, SocketKey socket);
   // What the module does.
   void dial(HostId host, Micros within);
-  void answer(std::string_view line, Reason reason, std::optional<Refusal> refusal = {});
+  void answer(std::string_view line, Reason reason, std::optional<RefusalReason> refusal = {});
   void move(Reason why);
   bool movable() const { return open_ && !relay_.moving(); }
   void dial_holder();
@@ -34,26 +34,26 @@
   bool still_wanted() override;
   bool client_waits() override;
   void host_accepted() override;
-  void dial_ended(Ending how) override;
+  void dial_ended(DialOutcome how) override;
   void load_is(double micros_per_s) override;
   void message_took(Micros delay) override;
-  void relay_over(Ending how, Reason why) override;
+  void relay_over(DialOutcome how, Reason why) override;
   void relay_closed() override;
   // The module knows only one dial of a connection that was open before.
   DialNo dial_no() const { return {inherited_ ? 0 : dials_ - 1}; }
   void free();
   // One line for each connection and each dial that ends; `refusal`: why the module gave no host.
-  void log_end(const char* code, std::optional<Refusal> refusal = {});
+  void log_end(const char* code, std::optional<RefusalReason> refusal = {});
 
   Sessions& sessions_;
   ClientConn client_;
   HostConn host_;
   Relay relay_;
   SlabKey key_;
-  Sess handle_;
+  SessionHandle handle_;
   std::optional<ConnectionId> id_;  // while it is claimed
   LoggedId logged_id_;
-  Taken taken_{};
+  SessionRequest taken_{};
   std::string_view time_left_;
   HostId at_;
   Micros began_{0};
--- a/src/line/reason.cpp
+++ b/src/line/reason.cpp
@@ -40,41 +40,41 @@
   return "unknown";
 }
 
-const char* code_of(Ending how) {
+const char* code_of(DialOutcome how) {
   switch (how) {
-    case Ending::finished:
+    case DialOutcome::completed:
       return "dial-finished";
-    case Ending::erred:
+    case DialOutcome::error_reply:
       return "dial-erred";
-    case Ending::turned_away:
+    case DialOutcome::rejected:
       return "dial-turned-away";
-    case Ending::timed_out:
+    case DialOutcome::timed_out:
       return "dial-timed-out";
-    case Ending::unconnected:
+    case DialOutcome::connect_failed:
       return "dial-unconnected";
-    case Ending::broken:
+    case DialOutcome::connection_lost:
       return "dial-broken";
-    case Ending::cancelled:
+    case DialOutcome::cancelled:
       return "dial-cancelled";
-    case Ending::unsent:
+    case DialOutcome::not_sent:
       return "dial-unsent";
   }
   return "dial-unknown";
 }
 
-const char* code_of(Refusal why) {
+const char* code_of(RefusalReason why) {
   switch (why) {
-    case Refusal::no_host:
+    case RefusalReason::no_host:
       return "no-host";
-    case Refusal::fleet_full:
+    case RefusalReason::fleet_full:
       return "fleet-full";
-    case Refusal::list_stale:
+    case RefusalReason::list_stale:
       return "list-stale";
-    case Refusal::throttled:
+    case RefusalReason::throttled:
       return "throttled";
-    case Refusal::no_dials_left:
+    case RefusalReason::no_dials_left:
       return "no-dials-left";
-    case Refusal::no_budget_left:
+    case RefusalReason::no_budget_left:
       return "no-budget-left";
   }
   return "unknown";
--- a/src/line/reason.h
+++ b/src/line/reason.h
@@ -25,7 +25,7 @@
   restarting,      // moved or refused since this node is about to leave
 };
 const char* code_of(Reason reason);
-const char* code_of(Ending how);  // of a dial that was not accepted
-const char* code_of(Refusal why);
+const char* code_of(DialOutcome how);  // of a dial that was not accepted
+const char* code_of(RefusalReason why);
 
 }  // namespace flintweir::line
--- a/src/line/relay.cpp
+++ b/src/line/relay.cpp
@@ -47,7 +47,7 @@
     asked_at_ = wakes_.now();
     wakes_.after(kSilence, *this, token(Due::silence));
   }
-  if (client_->at_end()) over(Ending::cancelled, Reason::client_ended);
+  if (client_->at_end()) over(DialOutcome::cancelled, Reason::client_ended);
   up_stream();
 }
 
@@ -87,9 +87,9 @@
 
 // What the host said last tells how it meant the end.
 void Relay::host_over() {
-  if (bye_) return over(Ending::finished, Reason::host_ended);
-  if (sent_away_) return over(Ending::cancelled, Reason::host_moved);
-  over(Ending::broken, Reason::host_broke);
+  if (bye_) return over(DialOutcome::completed, Reason::host_ended);
+  if (sent_away_) return over(DialOutcome::cancelled, Reason::host_moved);
+  over(DialOutcome::connection_lost, Reason::host_broke);
 }
 
 // Only whole lines go on to the client, so that MOVE can be said between two of them at any time.
@@ -115,7 +115,8 @@
   if (!sent_away_) {
     sent_away_ = true;
     move_left_ = "MOVE\r\n";
-    over(why_moving_ == Reason::host_silent ? Ending::broken : Ending::cancelled, why_moving_);
+    over(why_moving_ == Reason::host_silent ? DialOutcome::connection_lost : DialOutcome::cancelled,
+         why_moving_);
     host_->close();
   }
   const auto n = client_->write(move_left_);
@@ -128,7 +129,7 @@
 
 void Relay::broken(Stream& stream) {
   if (&stream == client_) {
-    over(Ending::cancelled, Reason::client_ended);
+    over(DialOutcome::cancelled, Reason::client_ended);
     host_->abort();
     return close();
   }
@@ -144,7 +145,7 @@
   client_->want_read();
 }
 
-void Relay::over(Ending how, Reason why) {
+void Relay::over(DialOutcome how, Reason why) {
   if (std::exchange(over_, true)) return;
   wakes_.after(kLinger, *this, token(Due::linger));
   owner_.relay_over(how, why);
@@ -157,7 +158,7 @@
     return down_stream();
   }
   if (t == token(Due::stuck) && !over_) {  // the client reads nothing: MOVE can't be said
-    over(Ending::cancelled, why_moving_);
+    over(DialOutcome::cancelled, why_moving_);
     client_->abort();
     return close();
   }
--- a/src/line/relay.h
+++ b/src/line/relay.h
@@ -14,8 +14,8 @@
  public:
   virtual void load_is(double micros_per_s) = 0;
   virtual void message_took(Micros delay) = 0;
-  virtual void relay_over(Ending how, Reason why) = 0;  // once; both sides may take a while yet to close
-  virtual void relay_closed() = 0;                      // the places may be used again
+  virtual void relay_over(DialOutcome how, Reason why) = 0;  // once; both sides may take a while yet to close
+  virtual void relay_closed() = 0;                           // the places may be used again
 
  protected:
   ~RelayOwner() = default;
@@ -44,7 +44,7 @@
   void say_move();
   void linger();
   void host_over();
-  void over(Ending how, Reason why);
+  void over(DialOutcome how, Reason why);
   void close();
 
   Wakes& wakes_;
--- a/src/line/sessions.cpp
+++ b/src/line/sessions.cpp
@@ -22,18 +22,18 @@
       probes_(sockets, wakes, patience.probe, *this) {}
 
 Balancer& Sessions::balancer_now() {
-  balancer_->at(wakes_.now());
+  balancer_->set_time(wakes_.now());
   return *balancer_;
 }
 
 void Sessions::add_client(SocketKey socket) {
-  const SlabKey key = links_.lend(*this);
+  const SlabKey key = links_.acquire(*this);
   ++count_;
   links_.find(key)->begin(key, socket);
 }
 
 void Sessions::free(SlabKey key) {
-  links_.drop(key);
+  links_.release(key);
   --count_;
 }
 
@@ -41,18 +41,18 @@
   if (ProxySession* link = find(sess)) link->dial(host, limit);
 }
 
-void Sessions::refuse(SessId sess, Micros stay_away, Refusal why) {
+void Sessions::refuse(SessId sess, Micros stay_away, RefusalReason why) {
   if (ProxySession* link = find(sess)) busy(*link, stay_away, Reason::refused, why);
 }
 
-void Sessions::busy(ProxySession& link, Micros stay_away, Reason why, std::optional<Refusal> refusal) {
+void Sessions::busy(ProxySession& link, Micros stay_away, Reason why, std::optional<RefusalReason> refusal) {
   char line[40] = "BUSY\r\n";
   const long long ms = std::chrono::ceil<std::chrono::milliseconds>(stay_away).count();
   if (ms > 0) std::snprintf(line, sizeof line, "BUSY %lld\r\n", ms);
   link.answer(line, why, refusal);
 }
 
-void Sessions::tear_down(SessId sess, Refusal why) {
+void Sessions::tear_down(SessId sess, RefusalReason why) {
   if (ProxySession* link = find(sess)) link->answer("ERR\r\n", Reason::torn_down, why);
 }
 
@@ -65,14 +65,14 @@
   probes_.ask(host, h && sockets_.room(kSpare / 2) ? &h->at : nullptr);
 }
 
-void Sessions::forget(HostId host) {
+void Sessions::forget_host(HostId host) {
   probes_.forget(host);
   hosts_.forget(host);
 }
 
-void Sessions::probed(HostId host, Ending how, Micros took, const LoadReport& report) {
-  if (how != Ending::finished) log_line("end probe-failed host=%s", hosts_.name(host));
-  balancer_now().probed(host, how, took, report);
+void Sessions::probed(HostId host, DialOutcome how, Micros took, const LoadReport& report) {
+  if (how != DialOutcome::completed) log_line("end probe-failed host=%s", hosts_.name(host));
+  balancer_now().probe_ended(host, how, took, report);
 }
 
 void Sessions::log(std::string_view line) {
@@ -113,7 +113,7 @@
 void Sessions::move_next(std::uint64_t) {
   std::size_t open = 0;
   ProxySession* next = nullptr;
-  links_.each([&](SlabKey, ProxySession& link) {
+  links_.for_each([&](SlabKey, ProxySession& link) {
     if (!link.movable()) return;
     ++open;
     if (!next) next = &link;
--- a/src/line/sessions.h
+++ b/src/line/sessions.h
@@ -17,7 +17,7 @@
   Micros longest_stay_away;  // zero where clients cannot be told when to come back
 };
 
-class Sessions final : public Outlet, Probes::Told {
+class Sessions final : public BalancerActions, Probes::Told {
  public:
   class Events {
    public:
@@ -44,13 +44,13 @@
   std::uint64_t dials_not_begun() const { return dials_not_begun_; }
 
   void dial(SessId sess, HostId host, Micros limit) override;
-  void refuse(SessId sess, Micros stay_away, Refusal why) override;
-  void tear_down(SessId sess, Refusal why) override;
+  void refuse(SessId sess, Micros stay_away, RefusalReason why) override;
+  void tear_down(SessId sess, RefusalReason why) override;
   void move(SessId sess) override;
   void probe(HostId host) override;
-  void wake(Micros in, WakeId wake) override { wakes_.after(in, module_wakes_, wake.value); }
-  void watch() override { told_.watch_host_list(); }
-  void forget(HostId host) override;
+  void set_timer(Micros in, TimerId wake) override { wakes_.after(in, module_wakes_, wake.value); }
+  void watch_list() override { told_.watch_host_list(); }
+  void forget_host(HostId host) override;
   void log(std::string_view line) override;
   void log(std::string_view line, HostId host) override;
 
@@ -62,12 +62,12 @@
     Sessions& sessions;
     void (Sessions::*call)(std::uint64_t);
   };
-  void probed(HostId host, Ending how, Micros took, const LoadReport& report) override;
-  void wake_module(std::uint64_t wake) { balancer_now().woken(WakeId{wake}); }
+  void probed(HostId host, DialOutcome how, Micros took, const LoadReport& report) override;
+  void wake_module(std::uint64_t wake) { balancer_now().timer_expired(TimerId{wake}); }
   void dial_again(std::uint64_t key);
   void move_next(std::uint64_t);
 
-  void busy(ProxySession& link, Micros stay_away, Reason why, std::optional<Refusal> refusal = {});
+  void busy(ProxySession& link, Micros stay_away, Reason why, std::optional<RefusalReason> refusal = {});
   ProxySession* find(SessId sess) { return links_.find(SlabKey::unpacked(sess.value)); }
   bool has_room() const { return count_ <= most_ && sockets_.room(kSpare); }
   void again(SlabKey key, Micros in) { wakes_.after(in, dial_again_, key.packed()); }
--- a/src/members/view.cpp
+++ b/src/members/view.cpp
@@ -58,7 +58,7 @@
   helped
 };
 
-WakeId wake_id(Due due, std::uint64_t turn) { return WakeId{static_cast<std::uint64_t>(due) << 56 | turn}; }
+TimerId wake_id(Due due, std::uint64_t turn) { return TimerId{static_cast<std::uint64_t>(due) << 56 | turn}; }
 
 }  // namespace
 
@@ -135,7 +135,7 @@
     }
   }
 
-  void timer_expired(WakeId timer) {
+  void timer_expired(TimerId timer) {
     const auto due = static_cast<Due>(timer.value >> 56);
     const std::uint64_t turn = timer.value & ((1ull << 56) - 1);
     tick();
@@ -220,7 +220,7 @@
     Micros told_at = kNever;         // that it is called failed
     Micros pardoned_until = kNever;  // this node was cut off when it called it failed, and asks anew
     Nonce asked_as;                  // when it was last told or asked
-    FadingMean trip;                 // there and back, in seconds
+    DecayingMean trip;               // there and back, in seconds
   };
   using Entries = std::map<std::string, Entry, std::less<>>;
   using News = Entries::value_type;
@@ -539,7 +539,7 @@
 
   // An answer may take so long: twice what is usual there, or with anybody.
   Micros usual_trip(const Entry& e) const {
-    const double there = std::max(round_trip_.or_else(0), e.trip.or_else(0));
+    const double there = std::max(round_trip_.value_or(0), e.trip.value_or(0));
     return std::min(Micros{static_cast<std::int64_t>(there * 2e6)}, interval_ * kLongestTrip);
   }
 
@@ -1069,7 +1069,7 @@
   std::deque<Probed> probed_;  // lately, the present one last
   std::uint64_t probe_turn_ = 0, seed_turn_ = 0, claim_turn_ = 0, nonces_ = 0;
   std::map<std::uint64_t, Helped> helped_;
-  FadingMean round_trip_;           // seconds
+  DecayingMean round_trip_;         // seconds
   std::vector<std::string> nacks_;  // helpers that could not reach whom this node probes
   int health_ = 0, claim_tries_ = 0;
   std::uint8_t answers_ = 0;  // of the last eight probes, a bit each
@@ -1094,7 +1094,7 @@
 void View::set_time(Micros now) { impl_->set_time(now); }
 void View::start() { impl_->start(); }
 void View::received(const Address& from, std::string_view bytes) { impl_->received(from, bytes); }
-void View::timer_expired(WakeId timer) { impl_->timer_expired(timer); }
+void View::timer_expired(TimerId timer) { impl_->timer_expired(timer); }
 void View::set_seeds(std::vector<Address> seeds) { impl_->set_seeds(std::move(seeds)); }
 void View::leave() { impl_->leave(); }
 void View::set_metadata(std::string_view metadata) { impl_->set_metadata(metadata); }
--- a/src/members/view.h
+++ b/src/members/view.h
@@ -34,7 +34,7 @@
  public:
   virtual ~ViewDelegate() = default;
   virtual void send(const Address& to, std::string_view bytes) = 0;  // may be lost
-  virtual void set_timer(Micros delay, WakeId timer) = 0;
+  virtual void set_timer(Micros delay, TimerId timer) = 0;
   // A member's standing is another than before, or it was not known before.
   virtual void on_member_changed(std::string_view name, const Member& now, bool fresh) = 0;
   virtual void log(std::string_view line) = 0;  // for the log
@@ -53,7 +53,7 @@
   void set_time(Micros now);
   void start();
   void received(const Address& from, std::string_view bytes);
-  void timer_expired(WakeId timer);
+  void timer_expired(TimerId timer);
   void set_seeds(std::vector<Address> seeds);
   // From now on others are told that this node leaves.
   void leave();
--- a/src/node/changing.cpp
+++ b/src/node/changing.cpp
@@ -69,7 +69,7 @@
 
 void Changing::woken(std::uint64_t token) {
   carrier_.at(wakes_.now());
-  carrier_.woken(WakeId{token});
+  carrier_.woken(TimerId{token});
 }
 
 void Changing::keep(const changes::Change& change, bool in_force) {
--- a/src/node/changing.h
+++ b/src/node/changing.h
@@ -26,7 +26,7 @@
 
  private:
   void send(const Address& to, std::string_view bytes) override { network_.send_datagram(to, bytes); }
-  void wake(Micros in, WakeId wake) override { wakes_.after(in, *this, wake.value); }
+  void wake(Micros in, TimerId wake) override { wakes_.after(in, *this, wake.value); }
   void draw(std::size_t near, std::size_t far, std::vector<Address>& to) override {
     view_.pick_members(near, far, to);
   }
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -21,10 +21,10 @@
 // them.
 constexpr Micros kAnswerWithin = StalenessClock::kAfterChange - StalenessClock::kAfterWait;
 
-std::optional<Standing> standing_of(std::string_view state) {
-  if (state == "SERVING") return Standing::in;
-  if (state == "DRAINING") return Standing::draining;
-  if (state == "DELETED") return Standing::gone;
+std::optional<HostStatus> standing_of(std::string_view state) {
+  if (state == "SERVING") return HostStatus::active;
+  if (state == "DRAINING") return HostStatus::draining;
+  if (state == "DELETED") return HostStatus::removed;
   return std::nullopt;
 }
 
@@ -79,7 +79,7 @@
     told_.balancer_now().list_stale();
   } else {
     log_line("list: fresh");
-    told_.balancer_now().list_fresh();
+    told_.balancer_now().list_usable();
   }
 }
 
@@ -162,7 +162,7 @@
     if (!standing) return false;
     std::optional<Address> at;
     if (!o["endpoint"].get(address)) at = address_of(address);
-    if (!at && standing != Standing::gone) return false;
+    if (!at && standing != HostStatus::removed) return false;
     std::size_t zone_no = zones_.size();
     if (!o["az"].get(zone)) {
       zone_no = static_cast<std::size_t>(std::find(zones_.begin(), zones_.end(), zone) - zones_.begin());
@@ -192,13 +192,13 @@
   // list that was asked for as such may be older, as after the service's own restart.
   if (version_ ? version < *version_ : !whole) return version_.reset(), false;
   Balancer& balancer = told_.balancer_now();
-  balancer.list_begins(whole);
+  balancer.begin_list(whole);
   each_target(targets, [&](HostId id, std::string_view name, const Address& at, ZoneId zone, CellId cell,
-                           Standing standing, double share, Micros started) {
-    balancer.listed(id, zone, cell, standing, share, started);
-    if (standing != Standing::gone) hosts_.update(id, name, at);
+                           HostStatus standing, double share, Micros started) {
+    balancer.list_host(id, zone, cell, standing, share, started);
+    if (standing != HostStatus::removed) hosts_.update(id, name, at);
   });
-  balancer.list_ends();
+  balancer.end_list();
   version_ = version;
   return true;
 }
--- a/src/node/holder.cpp
+++ b/src/node/holder.cpp
@@ -93,7 +93,7 @@
 void Holder::datagram_waits() { hear_post(network_, *this, *this, places_); }
 
 void Holder::woken(std::uint64_t token) {
-  if (token != look_for_voters) return seeker().timer_expired(WakeId{token});
+  if (token != look_for_voters) return seeker().timer_expired(TimerId{token});
   places_.ask();
   wakes_.after(places_.all() ? kLooksAgain : kLooks, *this, look_for_voters);
 }
--- a/src/node/holder.h
+++ b/src/node/holder.h
@@ -68,7 +68,7 @@
   void datagram_waits() override;
   void woken(std::uint64_t token) override;
   void send_request(leases::VoterIndex voter, const leases::Request& request) override;
-  void set_timer(Micros delay, WakeId timer) override { wakes_.after(delay, *this, timer.value); }
+  void set_timer(Micros delay, TimerId timer) override { wakes_.after(delay, *this, timer.value); }
   void on_acquired(leases::Token token) override { whom_.held(token); }
   void on_lost(leases::Token token, std::string_view why) override { whom_.lost(token, why); }
   void on_waiting(std::string_view why) override { whom_.waits(why); }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -113,7 +113,7 @@
     setup::bad("configuration: name '" + name +
                "' is over 64 characters or not all printable ASCII without blanks and quotes");
   peers_ = std::make_unique<Peers>(network_, wakes_, *own.fleet, name, std::move(version), seed,
-                                   [this](unsigned nodes) { balancer_now().nodes_are(nodes); });
+                                   [this](unsigned nodes) { balancer_now().set_node_count(nodes); });
   leases_ = own.leases;
   if (leases_) peers_->vote(*leases_);
   changes_ = own.changes;
@@ -125,7 +125,8 @@
   const auto text = setup::ChangeText::of_text(change.text, "change", wrong);
   setup::Running running = setup::changed(own_, listener_names_, text, wrong);
   if (!wrong.empty()) return wrong.front();
-  sessions_.balancer_now().settings_are(std::move(running.listeners), running.dials.most, running.prices);
+  sessions_.balancer_now().update_settings(std::move(running.listeners), running.dials.max_dials,
+                                           running.prices);
   changed_discovery_ = text.discovery;
   follow(changed_discovery_.value_or(own_discovery_));
   return {};
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -15,8 +15,8 @@
 using namespace net;
 using namespace line;
 
-using MakeBalancer = std::function<std::unique_ptr<Balancer>(const setup::Values& settings, Outlet& outlet,
-                                                             std::uint64_t seed)>;
+using MakeBalancer = std::function<std::unique_ptr<Balancer>(const setup::Values& settings,
+                                                             BalancerActions& outlet, std::uint64_t seed)>;
 
 class Node final : Sessions::Events, Discovery::Told, Woken, AcceptEvents {
  public:
--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -84,7 +84,7 @@
 void Peers::woken(std::uint64_t token) {
   if (token == kCounts) return tell_count();
   view_.set_time(wakes_.now());
-  view_.timer_expired(WakeId{token});
+  view_.timer_expired(TimerId{token});
 }
 
 void Peers::on_member_changed(std::string_view name, const members::Member& now, bool fresh) {
--- a/src/node/peers.h
+++ b/src/node/peers.h
@@ -38,7 +38,7 @@
 
  private:
   void send(const Address& to, std::string_view bytes) override { network_.send_datagram(to, bytes); }
-  void set_timer(Micros delay, WakeId timer) override { wakes_.after(delay, *this, timer.value); }
+  void set_timer(Micros delay, TimerId timer) override { wakes_.after(delay, *this, timer.value); }
   void on_member_changed(std::string_view name, const members::Member& now, bool fresh) override;
   void log(std::string_view line) override;
   void datagram_waits() override;
--- a/src/numbers.h
+++ b/src/numbers.h
@@ -17,7 +17,7 @@
 inline double ratio(Micros part, Micros whole) { return seconds(part) / std::max(seconds(whole), 1e-6); }
 
 // What is left of one after `age`, where it fades by half every `half`.
-inline double fade(Micros age, Micros half) { return std::exp2(-ratio(age, half)); }
+inline double decay(Micros age, Micros half_life) { return std::exp2(-ratio(age, half_life)); }
 
 // The finalizer of splitmix64: spreads the bits of a number over all of its bits.
 inline std::uint64_t mix(std::uint64_t x) {
@@ -27,13 +27,13 @@
 }
 
 // A mean in which each new value counts 1 - keep.
-class FadingMean {
+class DecayingMean {
  public:
   void add(double x, double keep) {
     mean_ = known_ ? keep * mean_ + (1 - keep) * x : x;
     known_ = true;
   }
-  double or_else(double x) const { return known_ ? mean_ : x; }
+  double value_or(double x) const { return known_ ? mean_ : x; }
   bool known() const { return known_; }
 
  private:
@@ -42,12 +42,12 @@
 };
 
 // The gaps between signs of life: their mean and how they spread about it.
-class Gaps {
+class GapStatistics {
  public:
-  void sign(Micros now) {
+  void add(Micros now) {
     if (last_ != kNever && now > last_) {
       const double gap = seconds(now - last_);
-      const double off = gap - mean_.or_else(gap);
+      const double off = gap - mean_.value_or(gap);
       mean_.add(gap, kKeep);
       square_.add(off * off, kKeep);
     }
@@ -55,17 +55,17 @@
   }
   bool known() const { return mean_.known(); }
   Micros last() const { return last_; }
-  double mean() const { return mean_.or_else(0); }
-  double spread() const { return std::sqrt(square_.or_else(0)); }
+  double mean() const { return mean_.value_or(0); }
+  double deviation() const { return std::sqrt(square_.value_or(0)); }
 
  private:
   static constexpr double kKeep = 0.9;
   Micros last_ = kNever;
-  FadingMean mean_, square_;
+  DecayingMean mean_, square_;
 };
 
 // What was added lately, each with its time.
-class RecentSum {
+class SlidingSum {
  public:
   void add(Micros now, double x, Micros keep_since) {
     std::erase_if(added_, [&](const auto& a) { return a.first < keep_since; });
@@ -82,23 +82,23 @@
 };
 
 // A sum that fades by half every `half`.
-class FadingSum {
+class DecayingSum {
  public:
-  explicit FadingSum(Micros half) : half_(half) {}
-  void fade_by(Micros half) { half_ = half; }
+  explicit DecayingSum(Micros half_life) : half_life_(half_life) {}
+  void set_half_life(Micros half_life) { half_life_ = half_life; }
   void add(Micros now, double x) {
     sum_ = at(now) + x;
     at_ = now;
   }
-  double at(Micros now) const { return sum_ == 0 ? 0 : sum_ * fade(now - at_, half_); }
+  double at(Micros now) const { return sum_ == 0 ? 0 : sum_ * decay(now - at_, half_life_); }
   // What was added a second, where the adding began at `since`; no shorter than `least` is believed.
   double per_second(Micros now, Micros since, Micros least) const {
-    const double weight = seconds(half_) / std::log(2.0) * (1 - fade(now - since, half_));
+    const double weight = seconds(half_life_) / std::log(2.0) * (1 - decay(now - since, half_life_));
     return at(now) / std::max(weight, seconds(least));
   }
 
  private:
-  Micros half_;
+  Micros half_life_;
   Micros at_{0};
   double sum_ = 0;
 };
--- a/src/dial_budget.h
+++ b/src/retry_budget.h
@@ -37,29 +37,29 @@
   std::size_t first_ = 0, held_ = 0;
 };
 
-class DialBudget {
+class RetryBudget {
  public:
-  explicit DialBudget(std::optional<FurtherDials> rule) : rule_(rule) {}
+  explicit RetryBudget(std::optional<RetryBudgetLimits> rule) : rule_(rule) {}
   void took(Micros now) {
     if (!rule_) return;
-    taken_.begin_at(now - rule_->span, false);
+    taken_.begin_at(now - rule_->window, false);
     taken_.add(now);
   }
   // Whether one more may go out now. Where a bound falls on the very edge, a dial counts and a session does
   // not.
   bool allows(Micros now) {
     if (!rule_) return true;
-    taken_.begin_at(now - rule_->span, false);
-    spent_.begin_at(now - rule_->span, true);
+    taken_.begin_at(now - rule_->window, false);
+    spent_.begin_at(now - rule_->window, true);
     return static_cast<double>(spent_.size() + 1) <=
-           rule_->floor + rule_->share * static_cast<double>(taken_.size());
+           rule_->min_retries + rule_->retry_ratio * static_cast<double>(taken_.size());
   }
   void spend(Micros now) {
     if (rule_) spent_.add(now);
   }
 
  private:
-  std::optional<FurtherDials> rule_;
+  std::optional<RetryBudgetLimits> rule_;
   Window taken_, spent_;
 };
 
--- a/src/session.h
+++ b/src/session.h
@@ -13,10 +13,10 @@
 
 struct Session {
   Session() = default;
-  Session(SessId s, const Taken& t, double usual) : id(s), taken(t), load(usual) {}
+  Session(SessId s, const SessionRequest& t, double usual) : id(s), taken(t), load(usual) {}
 
   SessId id;
-  Taken taken;
+  SessionRequest taken;
   State state = State::held;
   Micros give_up_at{0};
   unsigned dials = 0;
--- a/src/setup/change_text.cpp
+++ b/src/setup/change_text.cpp
@@ -79,10 +79,10 @@
     l.handshake_target = c.handshake_target.value_or(l.handshake_target);
     l.utility = c.utility.value_or(l.utility);
   }
-  own.dials.most = change.most_dials.value_or(own.dials.most);
+  own.dials.max_dials = change.most_dials.value_or(own.dials.max_dials);
   if (change.probe && !own.prices.probe) wrong.push_back("prices.probe: hosts may not be probed here");
   if (change.probe) own.prices.probe = change.probe;
-  own.prices.crossing = change.crossing.value_or(own.prices.crossing);
+  own.prices.zone_crossing = change.crossing.value_or(own.prices.zone_crossing);
   return own;
 }
 
--- a/src/setup/deployment.cpp
+++ b/src/setup/deployment.cpp
@@ -14,10 +14,10 @@
   bad("settings: unknown effect '" + std::string(name) + "'");
 }
 
-Reach reach_named(std::string_view name) {
-  if (name == "all") return Reach::all;
-  if (name == "zone") return Reach::zone;
-  if (name == "cell") return Reach::cell;
+DedupScope reach_named(std::string_view name) {
+  if (name == "all") return DedupScope::all;
+  if (name == "zone") return DedupScope::zone;
+  if (name == "cell") return DedupScope::cell;
   bad("settings: unknown group '" + std::string(name) + "'");
 }
 
@@ -43,7 +43,7 @@
 }
 
 // Further dials are rationed where all three say so, and nowhere else.
-std::optional<FurtherDials> further_dials(const Values& rules) {
+std::optional<RetryBudgetLimits> further_dials(const Values& rules) {
   const bool floor = rules.has("extraFloor"), share = rules.has("extraPerRequest"),
              span = rules.has("budgetSpan");
   if (!floor && !share && !span) return std::nullopt;
@@ -51,8 +51,8 @@
     bad("settings.rules: extraFloor, extraPerRequest and budgetSpan come together");
   const double micros = rules.positive_or_zero("budgetSpan");
   if (micros < 1 || micros > 1e15) bad("settings.rules.budgetSpan is not a time above zero");
-  return FurtherDials{rules.positive_or_zero("extraFloor"), rules.positive_or_zero("extraPerRequest"),
-                      Micros{std::llround(micros)}};
+  return RetryBudgetLimits{rules.positive_or_zero("extraFloor"), rules.positive_or_zero("extraPerRequest"),
+                           Micros{std::llround(micros)}};
 }
 
 }  // namespace
@@ -78,7 +78,7 @@
                  ceilings.yes("probes") ? std::optional(prices.real("probe", 0)) : std::nullopt}};
 }
 
-std::unique_ptr<Balancer> balancer_for(const Values& settings, Outlet& outlet, std::uint64_t seed) {
+std::unique_ptr<Balancer> balancer_for(const Values& settings, BalancerActions& outlet, std::uint64_t seed) {
   const Values rules(settings, "rules");
   check_goal(settings);
   Running running = running_of(settings);
@@ -86,10 +86,10 @@
       outlet, seed, static_cast<unsigned>(settings.real("balancers", 1)),
       ZoneId{static_cast<std::uint32_t>(settings.real("myZone", 0))}, std::move(running.listeners),
       running.dials,
-      ColdRule{rules.time("cold"), rules.real("coldShare", 1), rules.real("overloadFactor", 1),
-               rules.time("tipAfter")},
-      ListRule{settings.text("discovery", "") == "on_request", rules.time("askEvery"),
-               settings.text("weightSource", "") != "live", rules.yes_or_no("softRemoval", false)},
+      ColdStartLimits{rules.time("cold"), rules.real("coldShare", 1), rules.real("overloadFactor", 1),
+                      rules.time("tipAfter")},
+      ListPolicy{settings.text("discovery", "") == "on_request", rules.time("askEvery"),
+                 settings.text("weightSource", "") != "live", rules.yes_or_no("softRemoval", false)},
       running.prices);
 }
 
@@ -113,9 +113,9 @@
 
 void set_field(LoadReport& report, std::string_view name, double value) {
   if (name == "x0") report.load = value;
-  if (name == "x1") report.piled_up = value;
-  if (name == "util") report.busy = value;
-  if (name == "queue") report.queued = value;
+  if (name == "x1") report.backlog = value;
+  if (name == "util") report.cpu_usage = value;
+  if (name == "queue") report.queued_sessions = value;
 }
 
 std::uint64_t id_of(std::string_view name) {
--- a/src/setup/deployment.h
+++ b/src/setup/deployment.h
@@ -12,7 +12,7 @@
 namespace flintweir::setup {
 
 // The balancer that the settings ask for. Throws BadInput.
-std::unique_ptr<Balancer> balancer_for(const Values& settings, Outlet& outlet, std::uint64_t seed);
+std::unique_ptr<Balancer> balancer_for(const Values& settings, BalancerActions& outlet, std::uint64_t seed);
 
 // Its listeners, in their order. Throws BadInput.
 std::vector<Listener> listeners(const Values& settings);
--- a/src/slab.h
+++ b/src/slab.h
@@ -9,11 +9,11 @@
 namespace flintweir {
 
 struct SlabKey {
-  std::uint32_t place = 0;
-  std::uint32_t turn = 0;  // 0 is never given out
+  std::uint32_t index = 0;
+  std::uint32_t generation = 0;  // 0 is never given out
 
   // As one number, never 0 for a key that was given out.
-  std::uint64_t packed() const { return std::uint64_t{turn} << 32 | place; }
+  std::uint64_t packed() const { return std::uint64_t{generation} << 32 | index; }
   static SlabKey unpacked(std::uint64_t n) {
     return {static_cast<std::uint32_t>(n), static_cast<std::uint32_t>(n >> 32)};
   }
@@ -23,42 +23,43 @@
 class Slab {
  public:
   SlabKey add(T value) {
-    const SlabKey key = lend();
-    cells_[key.place].value = std::move(value);
+    const SlabKey key = acquire();
+    cells_[key.index].value = std::move(value);
     return key;
   }
 
   // A place whose value is as its last user left it, or made from `args` where the place is new.
   template <class... Args>
-  SlabKey lend(Args&&... args) {
+  SlabKey acquire(Args&&... args) {
     if (free_.empty()) {
       free_.push_back(static_cast<std::uint32_t>(cells_.size()));
       cells_.emplace_back(std::forward<Args>(args)...);
     }
-    const std::uint32_t place = free_.back();
+    const std::uint32_t index = free_.back();
     free_.pop_back();
-    Cell& cell = cells_[place];
+    Cell& cell = cells_[index];
     cell.used = true;
-    return {place, ++cell.turn};
+    return {index, ++cell.generation};
   }
 
-  T* find(SlabKey key) { return has(key) ? &cells_[key.place].value : nullptr; }
+  T* find(SlabKey key) { return has(key) ? &cells_[key.index].value : nullptr; }
 
   bool has(SlabKey key) const {
-    return key.place < cells_.size() && cells_[key.place].used && cells_[key.place].turn == key.turn;
+    return key.index < cells_.size() && cells_[key.index].used &&
+           cells_[key.index].generation == key.generation;
   }
 
-  void drop(SlabKey key) {
+  void release(SlabKey key) {
     if (!has(key)) return;
-    cells_[key.place].used = false;
-    free_.push_back(key.place);
+    cells_[key.index].used = false;
+    free_.push_back(key.index);
   }
 
   // Calls visit(key, value) in order of place.
   template <class Visit>
-  void each(Visit visit) {
-    for (std::uint32_t place = 0; place < cells_.size(); ++place) {
-      if (cells_[place].used) visit(SlabKey{place, cells_[place].turn}, cells_[place].value);
+  void for_each(Visit visit) {
+    for (std::uint32_t index = 0; index < cells_.size(); ++index) {
+      if (cells_[index].used) visit(SlabKey{index, cells_[index].generation}, cells_[index].value);
     }
   }
 
@@ -67,7 +68,7 @@
     template <class... Args>
     explicit Cell(Args&&... args) : value(std::forward<Args>(args)...) {}
     T value;
-    std::uint32_t turn = 0;
+    std::uint32_t generation = 0;
     bool used = false;
   };
   std::deque<Cell> cells_;
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -1,6 +1,6 @@
 #include <set>
 
-#include "dial_budget.h"
+#include "retry_budget.h"
 #include "world.h"
 
 namespace flintweir::test {
@@ -77,7 +77,7 @@
   Three w;
   const auto there = w.settle_at(b);
   ASSERT_TRUE(there);
-  w.finish(*there, Ending::broken);
+  w.finish(*there, DialOutcome::connection_lost);
   for (int i = 0; i < 6; ++i) EXPECT_NE(w.settle(), b);
 }
 
@@ -86,7 +86,7 @@
   for (const Micros pause : {1s, 2s}) {
     const auto there = w.settle_at(b);
     ASSERT_TRUE(there);
-    w.finish(*there, Ending::broken);
+    w.finish(*there, DialOutcome::connection_lost);
     w.report(b, 0.3);
     w.pass(pause - 100ms);
     EXPECT_FALSE(w.settle_at(b));
@@ -99,7 +99,7 @@
   SessId last{};
   do last = w.arrive(0);
   while (w.placed(last) != b);
-  w.finish(last, Ending::erred);
+  w.finish(last, DialOutcome::error_reply);
   w.loads(0.95, 0.3, 0.95);
   EXPECT_TRUE(w.clients.at(w.arrive(0)).answered);
   EXPECT_GE(w.refused, 1u);
@@ -125,15 +125,15 @@
   Three w;
   const auto there = w.settle_at(b);
   ASSERT_TRUE(there);
-  w.clients.at(*there).handle.messages_take(1500ms);
+  w.clients.at(*there).handle.set_message_delay(1500ms);
   for (int i = 0; i < 4; ++i) EXPECT_NE(w.settle(), b);
 }
 
 TEST(Overload, LetsGoOfHeavySessionsWhileOthersAreRefused) {
   Three w;
-  for (auto& [id, client] : w.clients) client.handle.load_is(1000);
+  for (auto& [id, client] : w.clients) client.handle.set_load(1000);
   Client& heavy = w.clients.begin()->second;
-  heavy.handle.load_is(5000);
+  heavy.handle.set_load(5000);
   w.loads(0.75, 0.75, 0.75);
   w.arrive(0);
   w.pass(1s);
@@ -163,7 +163,7 @@
     w.accept(id);
     used.insert(w.placed(id));
     load[w.placed(id)] = 0.9;
-    w.finish(id, Ending::cancelled);
+    w.finish(id, DialOutcome::cancelled);
     w.pass(3s);
     for (const auto& [h, l] : load) w.report(h, l);
   }
@@ -181,7 +181,7 @@
     // Half of the hosts are bad from here: for one group in eight all of its best.
     w.pass_asked(6s, [&](HostId h) {
       if (h.value > 6)
-        w.balancer->probed(h, Ending::timed_out, 300ms, {});
+        w.balancer->probe_ended(h, DialOutcome::timed_out, 300ms, {});
       else
         w.report(h, 0.62);
     });
@@ -230,7 +230,7 @@
 
 TEST(Mover, LeavesADrainingHost) {
   Three w;
-  w.change(a, Standing::draining);
+  w.change(a, HostStatus::draining);
   w.pass(2s);
   for (const auto& [id, client] : w.clients) EXPECT_EQ(client.moved, client.dials.back().host == a);
 }
@@ -277,7 +277,7 @@
   const SessId held = w.arrive(0);
   w.pass(200ms);
   EXPECT_TRUE(w.clients.at(held).dials.empty());
-  EXPECT_FALSE(w.balancer->may_send(w.hosts.begin()->first));
+  EXPECT_FALSE(w.balancer->may_dial(w.hosts.begin()->first));
   w.tell_all();
   w.pass(200ms);
   EXPECT_EQ(w.clients.at(held).dials.size(), 1u);
@@ -289,8 +289,8 @@
     EXPECT_TRUE(w.clients.at(refused).answered && w.clients.at(refused).dials.empty());
     w.pass(10s);
   }
-  w.balancer->list_fresh();
-  EXPECT_TRUE(w.balancer->may_send(w.hosts.begin()->first));
+  w.balancer->list_usable();
+  EXPECT_TRUE(w.balancer->may_dial(w.hosts.begin()->first));
   EXPECT_EQ(w.clients.at(w.arrive(0)).dials.size(), 1u);
   // And once more.
   w.balancer->list_stale();
@@ -302,10 +302,10 @@
 TEST(List, SaysOfADialThatHasNotBegunWhetherItStillMay) {
   Three w;
   const HostId host = w.hosts.begin()->first;
-  EXPECT_TRUE(w.balancer->may_send(host));
-  w.change(host, Standing::draining);
-  EXPECT_FALSE(w.balancer->may_send(host));
-  EXPECT_FALSE(w.balancer->may_send(HostId{404}));
+  EXPECT_TRUE(w.balancer->may_dial(host));
+  w.change(host, HostStatus::draining);
+  EXPECT_FALSE(w.balancer->may_dial(host));
+  EXPECT_FALSE(w.balancer->may_dial(HostId{404}));
 }
 
 // Where weights fall as hosts fill they are no sizes: an empty host would be home to nearly every group, and
@@ -326,10 +326,10 @@
 }
 
 // Guards against a window that slides and lets one dial over, at its edges too: counted anew by brute force.
-TEST(DialBudget, HoldsInEveryWindow) {
-  for (const FurtherDials rule :
-       {FurtherDials{1, 0.03, 2s}, FurtherDials{3, 0.15, 5s}, FurtherDials{0, 0.5, 1s}}) {
-    DialBudget budget(rule);
+TEST(RetryBudget, HoldsInEveryWindow) {
+  for (const RetryBudgetLimits rule :
+       {RetryBudgetLimits{1, 0.03, 2s}, RetryBudgetLimits{3, 0.15, 5s}, RetryBudgetLimits{0, 0.5, 1s}}) {
+    RetryBudget budget(rule);
     std::mt19937_64 chance(5);
     std::vector<Micros> taken, spent;
     unsigned refused = 0;
@@ -342,8 +342,8 @@
         return static_cast<double>(
             std::count_if(all.begin(), all.end(), [&](Micros t) { return t >= from; }));
       };
-      ASSERT_TRUE(!allowed ||
-                  in(spent, now - rule.span) <= rule.floor + rule.share * in(taken, now - rule.span + 1us));
+      ASSERT_TRUE(!allowed || in(spent, now - rule.window) <=
+                                  rule.min_retries + rule.retry_ratio * in(taken, now - rule.window + 1us));
     }
     EXPECT_GT(refused, 10u);
     EXPECT_GT(spent.size(), 5u);
@@ -351,21 +351,21 @@
 }
 
 // The case of ams-builds: further dials of one node come to more than its budget on a day of failing hosts.
-TEST(DialBudget, EndsASessionAtOnceWhereNoFurtherDialIsLeft) {
+TEST(RetryBudget, EndsASessionAtOnceWhereNoFurtherDialIsLeft) {
   Three w;
-  w.further = FurtherDials{2, 0, 5s};
+  w.further = RetryBudgetLimits{2, 0, 5s};
   w.restart();
   w.pass(100ms);
   const auto fail_first = [&] {
     const SessId id = w.arrive(0);
-    w.finish(id, Ending::unconnected);
+    w.finish(id, DialOutcome::connect_failed);
     return w.clients.at(id).dials.size();
   };
   EXPECT_EQ(fail_first(), 2u);
   EXPECT_EQ(fail_first(), 2u);
   const SessId last = w.arrive(0);  // has all its time, as there is no other dial
   EXPECT_EQ(w.clients.at(last).dials.back().until, w.clients.at(last).valid_until);
-  w.finish(last, Ending::unconnected);
+  w.finish(last, DialOutcome::connect_failed);
   EXPECT_TRUE(w.clients.at(last).answered);
   EXPECT_EQ(w.clients.at(last).dials.size(), 1u);
   w.pass(5100ms);
@@ -399,7 +399,7 @@
     only_draining_binds = true;
     restart();
     answers(5s, true);
-    change(b, Standing::gone);
+    change(b, HostStatus::removed);
     answers(6s, b_answers);
   }
   void answers(Micros over, bool b_too) {
@@ -428,19 +428,19 @@
   Three w;
   w.only_draining_binds = true;
   w.restart();
-  w.balancer->list_begins(true);
-  w.balancer->list_ends();
+  w.balancer->begin_list(true);
+  w.balancer->end_list();
   EXPECT_EQ(w.clients.at(w.arrive(0)).dials.size(), 1u);
 }
 
 // Guards rule 3 against an old list that comes again: what was seen to drain drains until it has restarted.
 TEST(List, NamesADrainedHostAgainThatStaysUnused) {
   Unbound w(true);
-  w.change(b, Standing::draining);
-  w.change(b, Standing::gone);
-  w.change(b, Standing::in);
+  w.change(b, HostStatus::draining);
+  w.change(b, HostStatus::removed);
+  w.change(b, HostStatus::active);
   EXPECT_EQ(w.turns_of(b, 9), 0u);
-  w.change(b, Standing::in, w.now);
+  w.change(b, HostStatus::active, w.now);
   w.answers(12s, true);
   EXPECT_GT(w.turns_of(b, 9), 0u);
 }
@@ -448,9 +448,9 @@
 // Guards rule 4 against an old list that comes again: a cold host that it takes for an old one is cold.
 TEST(List, TakesNoStartBack) {
   Three w;
-  w.change(b, Standing::in, w.now);
+  w.change(b, HostStatus::active, w.now);
   w.hosts[b].started = 0us;
-  w.change(b, Standing::in);
+  w.change(b, HostStatus::active);
   EXPECT_LT(w.turns_of(b, 30), 5u);
 }
 
@@ -461,7 +461,7 @@
       if (!bad.contains(h) || (lost && ++asked[h] % 3 == 0))
         report(h, 0.3);
       else if (lost)
-        balancer->probed(h, Ending::timed_out, 300ms, {});
+        balancer->probe_ended(h, DialOutcome::timed_out, 300ms, {});
       else
         report(h, 0.3, 150ms);
     });
@@ -592,24 +592,25 @@
       if (!open && pick(2))
         w.accept(id);
       else if (open)
-        w.finish(id, std::array{Ending::finished, Ending::broken, Ending::cancelled}[pick(3)]);
+        w.finish(id, std::array{DialOutcome::completed, DialOutcome::connection_lost,
+                                DialOutcome::cancelled}[pick(3)]);
       else
-        w.finish(
-            id, std::array{Ending::erred, Ending::turned_away, Ending::unconnected, Ending::broken}[pick(4)]);
+        w.finish(id, std::array{DialOutcome::error_reply, DialOutcome::rejected, DialOutcome::connect_failed,
+                                DialOutcome::connection_lost}[pick(4)]);
     }
     const unsigned n = 1 + pick(8);
     const HostId h{n};
-    if (pick(40) == 0 && w.hosts.contains(h)) w.change(h, Standing{static_cast<int>(pick(3))});
+    if (pick(40) == 0 && w.hosts.contains(h)) w.change(h, HostStatus{static_cast<int>(pick(3))});
     if (pick(60) == 0) {
       w.hosts.try_emplace(h, Place{ZoneId{n % 2}, CellId{n % 3}});
-      w.change(h, Standing::in, w.now);
+      w.change(h, HostStatus::active, w.now);
     }
     if (pick(50) == 0) w.balancer->list_failed();
     if (w.only_draining_binds && pick(80) == 0) {  // a list that lies: some running hosts are left out
-      w.balancer->list_begins(true);
+      w.balancer->begin_list(true);
       for (const auto& [id, place] : w.hosts)
         if (pick(2)) w.tell(id);
-      w.balancer->list_ends();
+      w.balancer->end_list();
     }
     if (pick(400) == 0) w.restart();
     std::erase_if(w.clients, [](const auto& x) {
@@ -635,13 +636,13 @@
         w.report(h, h == HostId{4} ? 0.2 : World::kNodes * 4.0 / 3 / w.capacity);
       if (i == 80) {
         w.hosts[HostId{4}] = {ZoneId{0}, CellId{0}};
-        w.change(HostId{4}, Standing::in, w.now);
+        w.change(HostId{4}, HostStatus::active, w.now);
       }
       const SessId id = w.arrive(0);
       if (w.clients.at(id).dials.empty()) continue;
       to_cold += w.placed(id) == HostId{4};
       w.accept(id);
-      w.finish(id, Ending::finished);
+      w.finish(id, DialOutcome::completed);
     }
     EXPECT_GT(to_cold, 0u);
   }
@@ -668,7 +669,7 @@
       if (step == 150) {
         w.hosts[fresh] = {ZoneId{0}, CellId{0}};
         w.hosts[fresh].weight = GetParam();
-        w.change(fresh, Standing::in, w.now);
+        w.change(fresh, HostStatus::active, w.now);
       }
       w.pass_asked(100ms, [&](HostId h) {
         w.report(h, h == fresh ? 0.1 : step < 150 ? kRate / 3 / kCapacity : 0.9);
@@ -677,7 +678,7 @@
         const SessId id = w.arrive(0);
         if (w.clients.at(id).dials.empty()) continue;
         w.accept(id);
-        w.finish(id, Ending::finished);
+        w.finish(id, DialOutcome::completed);
       }
       const std::deque<Micros>& to = w.hosts[fresh].sent;
       sent +=
@@ -685,7 +686,7 @@
     }
     const double age = std::min(1.0, std::max(0, step - 150) * 0.1 / 10);
     const double window = 2, present = kCapacity * (0.3 + 0.7 * age);
-    EXPECT_LE(static_cast<double>(sent), World::kCold.multiple * present * window);
+    EXPECT_LE(static_cast<double>(sent), World::kCold.overload_factor * present * window);
     most = std::max(most, sent);
   }
   EXPECT_GT(most, 0u);
@@ -718,13 +719,13 @@
       for (unsigned i = 0; i < kEach; ++i) {
         const SessId id = w.arrive(0);
         w.accept(id);
-        w.clients.at(id).handle.load_is(kLoad);
+        w.clients.at(id).handle.set_load(kLoad);
       }
     }
     for (int i = 0; i < 150; ++i) step();
     for (Three& w : nodes) {
       w.hosts[fresh] = {ZoneId{0}, CellId{0}};
-      w.change(fresh, Standing::in, w.now);
+      w.change(fresh, HostStatus::active, w.now);
     }
     const Micros started = nodes[0].now;
     for (int i = 0; i < 60 && !testing::Test::HasFailure(); ++i) {
@@ -742,7 +743,7 @@
       while (!sent.empty() && nodes[0].now - sent.front() > World::kCold.window) sent.pop_front();
       const double age = static_cast<double>((nodes[0].now - started).count()) / 10e6;
       EXPECT_LE(static_cast<double>(sent.size()),
-                World::kCold.multiple * (0.3 + 0.7 * age) * kFull / 10 * 2 + 1)
+                World::kCold.overload_factor * (0.3 + 0.7 * age) * kFull / 10 * 2 + 1)
           << "day " << day;
     }
   }
@@ -758,12 +759,12 @@
     for (int i = 0; i < 10; ++i) {
       const SessId id = w.arrive(listener);
       w.accept(id);
-      w.clients.at(id).handle.load_is(listener == 0 ? 5'000 : 100'000);
+      w.clients.at(id).handle.set_load(listener == 0 ? 5'000 : 100'000);
     }
   }
   w.pass_asked(30s, [&](HostId h) { w.report(h, 0.6); });
   w.hosts[HostId{4}] = {ZoneId{0}, CellId{0}};
-  w.change(HostId{4}, Standing::in, w.now);
+  w.change(HostId{4}, HostStatus::active, w.now);
   w.report(HostId{4}, 0);
   for (int i = 0; i < 100; ++i) {
     w.pass(20ms);
@@ -784,10 +785,10 @@
   const auto serve = [&](unsigned listener, double load) {
     const SessId id = w.arrive(listener);
     w.accept(id);
-    w.clients.at(id).handle.load_is(load);
+    w.clients.at(id).handle.set_load(load);
     return id;
   };
-  w.finish(serve(1, 50'000), Ending::finished);
+  w.finish(serve(1, 50'000), DialOutcome::completed);
   serve(0, 500);
   for (int i = 0; i < 6; ++i) EXPECT_FALSE(w.clients.at(w.arrive(1)).dials.empty());
 }
@@ -800,14 +801,14 @@
   w.restart();
   const SessId id = w.arrive(0);
   w.accept(id);
-  w.finish(id, Ending::broken);
+  w.finish(id, DialOutcome::connection_lost);
   w.pass(20s);
   EXPECT_FALSE(w.clients.at(w.arrive(0)).dials.empty());
 }
 
 TEST(Cold, GetsNothingFromANodeThatHasJustStarted) {
   World w(5);
-  w.hosts[a] = {ZoneId{0}, CellId{0}, Standing::in, 0us, w.now - 1s};
+  w.hosts[a] = {ZoneId{0}, CellId{0}, HostStatus::active, 0us, w.now - 1s};
   w.restart();
   const SessId id = w.arrive(0);
   EXPECT_TRUE(w.clients.at(id).dials.empty());
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -114,8 +114,8 @@
   }
   // What does not fit this node.
   setup::Running own;
-  own.listeners = {Listener{500ms, 1s, Effect::repeatable, Reach::all, 1s, 1}};
-  own.dials.most = 2;
+  own.listeners = {Listener{500ms, 1s, Effect::repeatable, DedupScope::all, 1s, 1}};
+  own.dials.max_dials = 2;
   for (const auto& [text, says] : std::vector<std::pair<const char*, const char*>>{
            {"[listener.video]\nutility = 1\n", "no such listener"},
            {"[listener.chat]\nhandshake_target = \"1001ms\"\n", "over its dial timeout"},
@@ -130,7 +130,7 @@
   wrong.clear();
   const auto back = setup::changed(own, {"chat"}, setup::ChangeText::of_text("", "f", wrong), wrong);
   EXPECT_TRUE(wrong.empty());
-  EXPECT_EQ(back.dials.most, 2u);
+  EXPECT_EQ(back.dials.max_dials, 2u);
 }
 
 TEST(KeptChange, IsWholeOrNotTaken) {
@@ -150,7 +150,7 @@
 struct Lone final : changes::Outlet {
   explicit Lone() : carrier(*this, "fleet", "n1", kAt, 7) { carrier.at(1s); }
   void send(const Address&, std::string_view bytes) override { sent.emplace_back(bytes); }
-  void wake(Micros, WakeId) override {}
+  void wake(Micros, TimerId) override {}
   void draw(std::size_t, std::size_t, std::vector<Address>& to) override { to.push_back(kAt); }
   std::string take(const Change& c) override {
     if (c.text.starts_with("bad")) return "does not fit";
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -23,7 +23,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr ColdRule kCold{10s, 0.3, 3, 2s};
+constexpr ColdStartLimits kCold{10s, 0.3, 3, 2s};
 constexpr HostId kFresh{4};
 // Sessions a second, over those that fill a warm host: of all nodes, before and under the burst with which
 // the cold host comes.
@@ -31,58 +31,58 @@
 constexpr double kLoad = 50'000;  // of one session, where its connection stays
 
 // One node: the module, and what it asks of its surroundings.
-class Node final : public Outlet {
+class Node final : public BalancerActions {
  public:
   Node(std::uint64_t seed, unsigned told, Micros now) : now_(now) {
     balancer = make_balancer(*this, seed, told, ZoneId{0},
-                             {Listener{500ms, 2s, Effect::repeatable, Reach::all, 1s, 1, 100ms}},
-                             DialLimits{4, 1s}, kCold, ListRule{true, 10s}, Prices{0.1, 0.0});
-    balancer->at(now);
-    balancer->list_begins(true);
+                             {Listener{500ms, 2s, Effect::repeatable, DedupScope::all, 1s, 1, 100ms}},
+                             DialLimits{4, 1s}, kCold, ListPolicy{true, 10s}, Prices{0.1, 0.0});
+    balancer->set_time(now);
+    balancer->begin_list(true);
     for (const std::uint64_t h : {1, 2, 3})
-      balancer->listed(HostId{h}, ZoneId{0}, CellId{0}, Standing::in, 1, 0us);
-    balancer->list_ends();
+      balancer->list_host(HostId{h}, ZoneId{0}, CellId{0}, HostStatus::active, 1, 0us);
+    balancer->end_list();
   }
   void at(Micros now) {
     now_ = now;
-    balancer->at(now);
+    balancer->set_time(now);
     while (!wakes_.empty() && wakes_.begin()->first <= now) {
-      const WakeId wake = wakes_.begin()->second;
+      const TimerId wake = wakes_.begin()->second;
       wakes_.erase(wakes_.begin());
-      balancer->woken(wake);
+      balancer->timer_expired(wake);
     }
   }
   // Where it was sent; none: refused or waiting, and gone.
   std::optional<HostId> take(Micros life) {
     dialled_.reset();
-    Taken taken{};
-    taken.valid_until = now_ + 2s;
-    Sess s = balancer->take(SessId{++next_}, taken);
+    SessionRequest taken{};
+    taken.deadline = now_ + 2s;
+    SessionHandle s = balancer->start_session(SessId{++next_}, taken);
     if (!dialled_) {
-      if (s.live()) s.left();
+      if (s.live()) s.client_left();
       return std::nullopt;
     }
     const HostId host = *dialled_;
-    s.accepted(DialNo{0});
-    s.load_is(kLoad);
+    s.dial_accepted(DialNo{0});
+    s.set_load(kLoad);
     open_.emplace(now_ + life, s);
     return host;
   }
   void end_due() {
     while (!open_.empty() && open_.begin()->first <= now_) {
-      Sess s = open_.begin()->second;
+      SessionHandle s = open_.begin()->second;
       open_.erase(open_.begin());
-      s.ended(DialNo{0}, Ending::finished, true);
+      s.dial_ended(DialNo{0}, DialOutcome::completed, true);
     }
   }
   void dial(SessId, HostId host, Micros) override { dialled_ = host; }
-  void refuse(SessId, Micros, Refusal) override {}
-  void tear_down(SessId, Refusal) override {}
+  void refuse(SessId, Micros, RefusalReason) override {}
+  void tear_down(SessId, RefusalReason) override {}
   void move(SessId) override {}
   void probe(HostId host) override { probes.push_back(host); }
-  void wake(Micros in, WakeId wake) override { wakes_.emplace(now_ + in, wake); }
-  void watch() override {}
-  void forget(HostId) override {}
+  void set_timer(Micros in, TimerId wake) override { wakes_.emplace(now_ + in, wake); }
+  void watch_list() override {}
+  void forget_host(HostId) override {}
   void log(std::string_view) override {}
   void log(std::string_view, HostId) override {}
 
@@ -92,8 +92,8 @@
  private:
   Micros now_;
   std::optional<HostId> dialled_;
-  std::multimap<Micros, WakeId> wakes_;
-  std::multimap<Micros, Sess> open_;
+  std::multimap<Micros, TimerId> wakes_;
+  std::multimap<Micros, SessionHandle> open_;
   std::uint64_t next_ = 0;
 };
 
@@ -133,20 +133,21 @@
     for (; !ends.empty() && ends.begin()->first <= now; ends.erase(ends.begin()))
       --held[ends.begin()->second];
     const Micros age = kStep * (step - kBefore);
-    const double warmth = kCold.share + (1 - kCold.share) * std::clamp(age / 1us / 1e7, 0.0, 1.0);
+    const double warmth =
+        kCold.initial_share + (1 - kCold.initial_share) * std::clamp(age / 1us / 1e7, 0.0, 1.0);
     for (unsigned i = 0; i < fleet.nodes; ++i) {
       Node& n = *nodes[i];
       n.at(now);
       n.end_due();
       if (step == kBefore) {
-        n.balancer->list_begins(false);
-        n.balancer->listed(kFresh, ZoneId{0}, CellId{0}, Standing::in, 1, now);
-        n.balancer->list_ends();
+        n.balancer->begin_list(false);
+        n.balancer->list_host(kFresh, ZoneId{0}, CellId{0}, HostStatus::active, 1, now);
+        n.balancer->end_list();
       }
       for (const HostId h : std::exchange(n.probes, {})) {
         LoadReport r;
         r.load = held[h.value] / full / (h == kFresh ? warmth : 1);
-        n.balancer->probed(h, Ending::finished, 1ms, r);
+        n.balancer->probe_ended(h, DialOutcome::completed, 1ms, r);
       }
       std::poisson_distribution<int> arrivals((step < kBefore ? kRate : kBurst) * fleet.capacity * rate[i] /
                                               all * seconds(kStep));
@@ -162,7 +163,7 @@
     }
     while (!window.empty() && now - window.front() >= kCold.window) window.pop_front();
     if (step < kBefore) continue;
-    const double bears = kCold.multiple * warmth * fleet.capacity * seconds(kCold.window);
+    const double bears = kCold.overload_factor * warmth * fleet.capacity * seconds(kCold.window);
     out.sent = std::max(out.sent, static_cast<unsigned>(window.size()));
     out.over = std::max(out.over, (static_cast<double>(window.size()) - bears) / (2 * std::sqrt(bears) + 2));
   }
--- a/tests/dial_throttle_test.cpp
+++ b/tests/dial_throttle_test.cpp
@@ -31,7 +31,7 @@
         ++dials;
         ++ended;
         if (clients.at(id).dials.back().host.value <= failing_hosts)
-          finish(id, Ending::erred);
+          finish(id, DialOutcome::error_reply);
         else
           accept(id);
       }
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -57,7 +57,7 @@
   "  if (!say(line) || all_out())" "  say(line);
   if (!say(line) || all_out())")
 flintweir_flaw(drained-dialled rolling_deploy drain src/balance.cpp
-  "    h->tell(zone, cell, standing," "    h->tell(zone, cell, standing == Standing::draining ? h->standing : standing,")
+  "    h->tell(zone, cell, standing," "    h->tell(zone, cell, standing == HostStatus::draining ? h->standing : standing,")
 flintweir_flaw(cold-ignored rolling_deploy cold src/balance.cpp
   "+ cost <= budget ||" "+ cost <= 100 * budget ||")
 flintweir_flaw(byte-lost mix line src/line/relay.cpp
@@ -66,7 +66,7 @@
     bytes.drop(gone);
     seen_ -= std::min(seen_, gone);")
 flintweir_flaw(late-answer mix answer src/line/protocol.cpp
-  "taken.valid_until = now + " "taken.valid_until = now + std::chrono::milliseconds(400) + ")
+  "taken.deadline = now + " "taken.deadline = now + std::chrono::milliseconds(400) + ")
 flintweir_flaw(session-leak all_drop ended src/line/relay.cpp
   "    host_->abort();
     return close();" "    return close();"
@@ -129,7 +129,7 @@
 flintweir_flaw(gone-and-dialled crossings left-dialled src/line/proxy_session.cpp
   "  if (client_.still_waits()) return true;" "  return true;")
 flintweir_flaw(drained-while-connecting crossings drain src/line/proxy_session.cpp
-  "inherited_ || sessions_.balancer_now().may_send(at_)" "true")
+  "inherited_ || sessions_.balancer_now().may_dial(at_)" "true")
 flintweir_flaw(silent-watch-kept crossings drain src/node/discovery.cpp
   "kWatchSlack = StalenessClock::kAfterWait / 4;" "kWatchSlack = 100 * StalenessClock::kAfterWait;"
   "told_.balancer_now().list_stale()" "void()")
--- a/tests/group_placement_test.cpp
+++ b/tests/group_placement_test.cpp
@@ -43,7 +43,7 @@
       node.accept(id);
       used.insert(host);
       node.load[host] = kFull;
-      node.finish(id, Ending::cancelled);
+      node.finish(id, DialOutcome::cancelled);
       node.pass(3s);
       node.report_all();
     }
@@ -61,7 +61,7 @@
       const HostId host = node.clients.at(id).dials.back().host;
       node.load[host] = kFull;
       filled.insert(host);
-      node.finish(id, Ending::cancelled);
+      node.finish(id, DialOutcome::cancelled);
     }
     node.pass(3s);
     node.report_all();
@@ -89,7 +89,7 @@
     if (node.clients.at(id).dials.empty()) continue;
     used.insert(node.clients.at(id).dials.back().host);
     node.accept(id);
-    node.finish(id, Ending::broken);
+    node.finish(id, DialOutcome::connection_lost);
   }
   EXPECT_EQ(used.size(), kFewestHosts);
 }
@@ -103,7 +103,7 @@
   for (unsigned i = 0; i < 2 * kHosts; ++i) node.accept(node.arrive(0));
   node.pass_asked(5s, [&](HostId host) { node.report(host, kNearlyFull); });
   for (unsigned i = 1; i <= kHosts / 2; ++i) {
-    node.change(HostId{i}, Standing::in, node.now - 2s);
+    node.change(HostId{i}, HostStatus::active, node.now - 2s);
     node.load.erase(HostId{i});
     node.load[HostId{kHosts / 2 + i}] = kFull;
   }
@@ -114,7 +114,7 @@
       const SessId id = node.arrive(0, GroupId{5});
       if (node.clients.at(id).dials.empty()) continue;
       used.insert(node.clients.at(id).dials.back().host);
-      node.finish(id, Ending::cancelled);
+      node.finish(id, DialOutcome::cancelled);
     }
     node.pass(World::kCold.window);
   }
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -137,11 +137,11 @@
   Token token;
   bool holds = false;
   void send_request(VoterIndex, const Request& r) override { rounds.push_back(r.round), token = r.token; }
-  void set_timer(Micros, WakeId id) override { last = id; }
+  void set_timer(Micros, TimerId id) override { last = id; }
   void on_acquired(Token) override { holds = true; }
   void on_lost(Token, std::string_view) override { holds = false; }
   void on_waiting(std::string_view) override {}
-  WakeId last;
+  TimerId last;
 };
 
 // Guards against an answer to an earlier renewal that is counted from the later one's time: the voter's time
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -27,31 +27,31 @@
 TEST(LineProtocol, DecodesTheFirstLineInPlace) {
   const OpenLineParser reader({"chat", "pay"}, {2s, 3s}, true);
   const std::string line = "OPEN 9b 7f c=pay,d=1500,g=5c,again=1,h=2.5,new=x";
-  Taken taken{};
+  SessionRequest taken{};
   ConnectionId id;
   std::string_view at, time_left;
   ASSERT_TRUE(reader.parse(line, 10s, taken, id, at, time_left));
   EXPECT_EQ(taken.listener, ListenerId{1});
   EXPECT_EQ(taken.client, ClientKey{0x7f});
   EXPECT_EQ(taken.group, GroupId{0x5c});
-  EXPECT_EQ(taken.valid_until, 11500ms);
-  EXPECT_EQ(taken.usual_load, 2.5);
-  EXPECT_TRUE(taken.returned);
-  EXPECT_FALSE(taken.repeat);
+  EXPECT_EQ(taken.deadline, 11500ms);
+  EXPECT_EQ(taken.expected_load, 2.5);
+  EXPECT_TRUE(taken.is_reconnect);
+  EXPECT_FALSE(taken.is_retry);
   EXPECT_EQ(time_left.data(), line.data() + line.find("1500"));
   EXPECT_TRUE(at.empty());
   // Who waits longer than dials may take is answered in their time, but for a connection that is open
   // already.
   ASSERT_TRUE(reader.parse("OPEN 9b 7f c=pay,d=4294967", 10s, taken, id, at, time_left));
-  EXPECT_EQ(taken.valid_until, 13s);
+  EXPECT_EQ(taken.deadline, 13s);
   ASSERT_TRUE(reader.parse("OPEN 9b 7f c=pay,d=4294967,at=s-1", 10s, taken, id, at, time_left));
-  EXPECT_EQ(taken.valid_until, 10s + 4294967ms);
+  EXPECT_EQ(taken.deadline, 10s + 4294967ms);
 }
 
 class MalformedOpenLine : public testing::TestWithParam<const char*> {};
 TEST_P(MalformedOpenLine, IsRejected) {
   const OpenLineParser reader({"chat"}, {2s}, false);
-  Taken taken{};
+  SessionRequest taken{};
   ConnectionId id;
   std::string_view at, time_left;
   EXPECT_FALSE(reader.parse(GetParam(), 0s, taken, id, at, time_left));
@@ -78,11 +78,11 @@
   for (int i = 0; i < 20000; ++i) {
     std::string line = i % 2 ? "OPEN 1 2 c=chat," : "";
     for (int n = static_cast<int>(chance() % 9); n > 0; --n) line += parts[chance() % std::size(parts)];
-    Taken taken{};
+    SessionRequest taken{};
     ConnectionId id;
     std::string_view at, time_left, rest;
     if (reader.parse(line, 1s, taken, id, at, time_left)) {
-      EXPECT_GE(taken.valid_until, 1s) << line;
+      EXPECT_GE(taken.deadline, 1s) << line;
       EXPECT_TRUE(time_left.empty() || time_left.data() >= line.data());
     }
     parse_host_message(line, rest);
@@ -93,10 +93,10 @@
 
 TEST(LineProtocol, ReadsLoadReports) {
   const LoadReport r = parse_load_report("eps=0.1,util=0.61,x0=0.4,queue=2,what=,x1=nan");
-  EXPECT_EQ(r.busy, 0.61);
+  EXPECT_EQ(r.cpu_usage, 0.61);
   EXPECT_EQ(r.load, 0.4);
-  EXPECT_EQ(r.queued, 2);
-  EXPECT_FALSE(r.piled_up);
+  EXPECT_EQ(r.queued_sessions, 2);
+  EXPECT_FALSE(r.backlog);
 }
 
 // A network on which no connection comes up.
--- a/tests/world.h
+++ b/tests/world.h
@@ -26,7 +26,7 @@
 };
 
 struct Client {
-  Sess handle;
+  SessionHandle handle;
   ListenerId listener;
   Micros valid_until;
   std::vector<Dialed> dials;
@@ -36,7 +36,7 @@
 struct Place {
   ZoneId zone;
   CellId cell;
-  Standing standing = Standing::in;
+  HostStatus standing = HostStatus::active;
   Micros told{0}, started{0};
   bool drained = false;
   std::deque<Micros> sent{};
@@ -44,16 +44,16 @@
 };
 
 inline std::vector<Listener> all_kinds() {
-  const auto kind = [](Effect e, Reach r) { return Listener{500ms, 2s, e, r, 1s, 1, 100ms}; };
-  return {kind(Effect::repeatable, Reach::all), kind(Effect::referenced, Reach::all),
-          kind(Effect::referenced, Reach::zone), kind(Effect::referenced, Reach::cell),
-          kind(Effect::once_only, Reach::all)};
+  const auto kind = [](Effect e, DedupScope r) { return Listener{500ms, 2s, e, r, 1s, 1, 100ms}; };
+  return {kind(Effect::repeatable, DedupScope::all), kind(Effect::referenced, DedupScope::all),
+          kind(Effect::referenced, DedupScope::zone), kind(Effect::referenced, DedupScope::cell),
+          kind(Effect::once_only, DedupScope::all)};
 }
 
-class World : public Outlet {
+class World : public BalancerActions {
  public:
   static constexpr unsigned kNodes = 2, kMostDials = 4;
-  static constexpr ColdRule kCold{10s, 0.3, 3, 2s};
+  static constexpr ColdStartLimits kCold{10s, 0.3, 3, 2s};
   static constexpr Micros kGrace = 300ms;
 
   explicit World(std::uint64_t seed, std::vector<Listener> kinds = all_kinds())
@@ -66,63 +66,64 @@
     clients.clear();
     wakes.clear();
     probes.clear();
-    for (auto& [id, p] : hosts) p.drained = p.standing == Standing::draining;  // it knows no older list
+    for (auto& [id, p] : hosts) p.drained = p.standing == HostStatus::draining;  // it knows no older list
     balancer = make_balancer(
         *this, chance(), nodes, ZoneId{0}, listeners, DialLimits{kMostDials, 1s, further}, kCold,
-        ListRule{true, 10s, weights_are_sizes, only_draining_binds}, Prices{0.1, probe_price});
-    balancer->at(now);
+        ListPolicy{true, 10s, weights_are_sizes, only_draining_binds}, Prices{0.1, probe_price});
+    balancer->set_time(now);
     tell_all();
   }
   void tell(HostId id) {
     const Place& p = hosts[id];
-    balancer->listed(id, p.zone, p.cell, p.standing, p.weight, p.started);
+    balancer->list_host(id, p.zone, p.cell, p.standing, p.weight, p.started);
   }
   void tell_all() {
-    balancer->list_begins(true);
+    balancer->begin_list(true);
     for (const auto& [id, place] : hosts) tell(id);
-    balancer->list_ends();
+    balancer->end_list();
   }
-  void change(HostId id, Standing standing, Micros started = 0us) {
+  void change(HostId id, HostStatus standing, Micros started = 0us) {
     Place& p = hosts[id];
-    if (standing == Standing::draining) p.drained = true;
-    if (started > p.started) p.drained = standing == Standing::draining;
+    if (standing == HostStatus::draining) p.drained = true;
+    if (started > p.started) p.drained = standing == HostStatus::draining;
     if (standing != p.standing) p.told = now;
     p.standing = standing;
     if (started > 0us) p.started = started;
-    balancer->list_begins(false);
+    balancer->begin_list(false);
     tell(id);
-    balancer->list_ends();
+    balancer->end_list();
   }
   SessId arrive(unsigned listener, std::optional<GroupId> group = {}) {
     const SessId id{next_id++};
     Client& c = clients[id];
     c.listener = {listener};
     c.valid_until = now + listeners[listener].dial_timeout;
-    Taken taken{};
+    SessionRequest taken{};
     taken.listener = c.listener;
-    taken.valid_until = c.valid_until;
+    taken.deadline = c.valid_until;
     taken.group = group;
-    c.handle = balancer->take(id, taken);
+    c.handle = balancer->start_session(id, taken);
     return id;
   }
-  void finish(SessId id, Ending how) {
+  void finish(SessId id, DialOutcome how) {
     Client& c = clients.at(id);
     Dialed& d = c.dials.back();
     d.out = false;
-    d.may_have_run = how != Ending::turned_away && how != Ending::unconnected && how != Ending::unsent;
-    const bool over = c.open || how == Ending::finished;
+    d.may_have_run =
+        how != DialOutcome::rejected && how != DialOutcome::connect_failed && how != DialOutcome::not_sent;
+    const bool over = c.open || how == DialOutcome::completed;
     if (over) c.answered = true;
-    c.handle.ended(DialNo{static_cast<std::uint32_t>(c.dials.size() - 1)}, how, over);
+    c.handle.dial_ended(DialNo{static_cast<std::uint32_t>(c.dials.size() - 1)}, how, over);
   }
   void accept(SessId id) {
     Client& c = clients.at(id);
     c.open = c.answered = true;
-    c.handle.accepted(DialNo{static_cast<std::uint32_t>(c.dials.size() - 1)});
+    c.handle.dial_accepted(DialNo{static_cast<std::uint32_t>(c.dials.size() - 1)});
   }
   void report(HostId id, double load, Micros took = 1ms) {
     LoadReport r;
     r.load = load;
-    balancer->probed(id, Ending::finished, took, r);
+    balancer->probe_ended(id, DialOutcome::completed, took, r);
   }
   // Time goes on, and what asks for a host's load is answered each 100 ms: answer(host).
   template <class Answer>
@@ -143,12 +144,12 @@
   void pass(Micros by) {
     for (const Micros end = now + by; now < end;) {
       now += std::min(10ms + 0us, end - now);
-      balancer->at(now);
-      for (std::vector<SessId> late = overdue(); const SessId id : late) finish(id, Ending::timed_out);
+      balancer->set_time(now);
+      for (std::vector<SessId> late = overdue(); const SessId id : late) finish(id, DialOutcome::timed_out);
       while (!wakes.empty() && wakes.begin()->first <= now) {
-        const WakeId wake = wakes.begin()->second;
+        const TimerId wake = wakes.begin()->second;
         wakes.erase(wakes.begin());
-        balancer->woken(wake);
+        balancer->timer_expired(wake);
       }
       for (const auto& [id, c] : clients) {
         EXPECT_TRUE(c.answered || now <= c.valid_until + 20ms) << "rule 1: no answer in time";
@@ -163,7 +164,7 @@
     const Listener& l = listeners[c.listener.value];
     EXPECT_FALSE(c.answered) << "rule 1: sent after the answer";
     EXPECT_LT(c.dials.size(), kMostDials);
-    const bool bound = only_draining_binds ? p.drained : p.standing != Standing::in;
+    const bool bound = only_draining_binds ? p.drained : p.standing != HostStatus::active;
     EXPECT_TRUE(!bound || now <= p.told + kGrace) << "rule 3";
     const Dialed* first = nullptr;
     for (const Dialed& d : c.dials) {
@@ -174,32 +175,32 @@
       const Place& ran = hosts.at(first->host);
       EXPECT_NE(l.effect, Effect::once_only) << "rule 2: run twice";
       if (l.effect == Effect::referenced) {
-        EXPECT_LE(now, first->at + l.memory) << "rule 2: forgotten by then";
-        EXPECT_TRUE(l.reach != Reach::zone || ran.zone == p.zone) << "rule 2: other zone";
-        EXPECT_TRUE(l.reach != Reach::cell || ran.cell == p.cell) << "rule 2: other cell";
+        EXPECT_LE(now, first->at + l.dedup_window) << "rule 2: forgotten by then";
+        EXPECT_TRUE(l.dedup_scope != DedupScope::zone || ran.zone == p.zone) << "rule 2: other zone";
+        EXPECT_TRUE(l.dedup_scope != DedupScope::cell || ran.cell == p.cell) << "rule 2: other cell";
       }
     }
     c.dials.push_back({host, now, limit > 0us ? std::min(now + limit, c.valid_until) : c.valid_until});
     p.sent.push_back(now);
     cold_budget(p);
   }
-  void refuse(SessId sess, Micros, Refusal) override {
+  void refuse(SessId sess, Micros, RefusalReason) override {
     const Client& c = clients.at(sess);
     const Listener& l = listeners[c.listener.value];
     for (const Dialed& d : c.dials) {
-      const bool harmless =
-          l.effect == Effect::repeatable || (l.effect == Effect::referenced && l.reach == Reach::all);
+      const bool harmless = l.effect == Effect::repeatable ||
+                            (l.effect == Effect::referenced && l.dedup_scope == DedupScope::all);
       EXPECT_TRUE(harmless || !d.may_have_run) << "rule 2: refused what may have run";
     }
     ++refused;
     answer(sess);
   }
-  void tear_down(SessId sess, Refusal) override { answer(sess); }
+  void tear_down(SessId sess, RefusalReason) override { answer(sess); }
   void move(SessId sess) override { clients.at(sess).moved = true; }
   void probe(HostId host) override { probes.push_back(host); }
-  void wake(Micros in, WakeId wake) override { wakes.emplace(now + in, wake); }
-  void watch() override { ++watched; }
-  void forget(HostId host) override { forgotten.insert(host); }
+  void set_timer(Micros in, TimerId wake) override { wakes.emplace(now + in, wake); }
+  void watch_list() override { ++watched; }
+  void forget_host(HostId host) override { forgotten.insert(host); }
   void log(std::string_view line) override { logged.emplace_back(line); }
   void log(std::string_view line, HostId) override { log(line); }
 
@@ -208,7 +209,7 @@
   Micros now = 1h;
   std::map<HostId, Place> hosts;
   std::map<SessId, Client> clients;
-  std::multimap<Micros, WakeId> wakes;
+  std::multimap<Micros, TimerId> wakes;
   std::vector<HostId> probes;
   std::vector<std::string> logged;
   std::set<HostId> forgotten;
@@ -216,7 +217,7 @@
   double capacity = 0;  // sessions a second that fill a warm host; 0: not looked at
   unsigned refused = 0, watched = 0;
   std::optional<double> probe_price = 0;
-  std::optional<FurtherDials> further;  // none: no budget
+  std::optional<RetryBudgetLimits> further;  // none: no budget
   bool weights_are_sizes = true;
   bool only_draining_binds = false;
   unsigned nodes = kNodes;  // taken up by the next restart
@@ -237,12 +238,13 @@
   }
   void cold_budget(Place& p) {
     while (!p.sent.empty() && now - p.sent.front() > kCold.window) p.sent.pop_front();
-    if (capacity <= 0 || p.started == 0us || now - p.started >= kCold.warm_within) return;
+    if (capacity <= 0 || p.started == 0us || now - p.started >= kCold.warm_up) return;
     const double age =
-        static_cast<double>((now - p.started).count()) / static_cast<double>(kCold.warm_within.count());
-    const double present = capacity * (kCold.share + (1 - kCold.share) * age);
+        static_cast<double>((now - p.started).count()) / static_cast<double>(kCold.warm_up.count());
+    const double present = capacity * (kCold.initial_share + (1 - kCold.initial_share) * age);
     const double window = static_cast<double>(kCold.window.count()) / 1e6;
-    EXPECT_LE(static_cast<double>(p.sent.size()), kCold.multiple * present * window / kNodes + 1) << "rule 4";
+    EXPECT_LE(static_cast<double>(p.sent.size()), kCold.overload_factor * present * window / kNodes + 1)
+        << "rule 4";
   }
   std::uint64_t next_id = 1;
 };
