--- a/benchlink/wire.cpp
+++ b/benchlink/wire.cpp
@@ -11,12 +11,12 @@
 namespace flintweir::benchlink {
 namespace {
 
-using setup::bad;
+using setup::throw_invalid_input;
 using simdjson::dom::array;
 using simdjson::dom::element;
 
 // A host's id is worked out from its address alone, so that it is the same at every node.
-HostId host_id(std::string_view address) { return {setup::id_of(address)}; }
+HostId host_id(std::string_view address) { return {setup::hash_name(address)}; }
 
 // The values of one message, read in their order; `what` names it in complaints.
 class Reader {
@@ -35,7 +35,7 @@
   }
   element need(std::string_view field) {
     const auto e = next();
-    if (!e) bad(std::string(what_) + ": " + std::string(field) + " is missing");
+    if (!e) throw_invalid_input(std::string(what_) + ": " + std::string(field) + " is missing");
     return *e;
   }
   std::uint64_t number(std::string_view field) { return whole(need(field), field); }
@@ -69,7 +69,7 @@
     return out;
   }
   [[noreturn]] void wrong(std::string_view field, std::string_view wanted) {
-    bad(std::string(what_) + ": " + std::string(field) + " is not " + std::string(wanted));
+    throw_invalid_input(std::string(what_) + ": " + std::string(field) + " is not " + std::string(wanted));
   }
 
  private:
@@ -91,7 +91,7 @@
                                DialOutcome::rejected,       DialOutcome::timed_out,
                                DialOutcome::connect_failed, DialOutcome::connection_lost,
                                DialOutcome::cancelled,      DialOutcome::not_sent};
-  if (code >= endings.size()) bad("unknown verdict " + std::to_string(code));
+  if (code >= endings.size()) throw_invalid_input("unknown verdict " + std::to_string(code));
   return endings[code];
 }
 
@@ -99,7 +99,7 @@
   if (name == "IN") return HostStatus::active;
   if (name == "LAME") return HostStatus::draining;
   if (name == "OUT") return HostStatus::removed;
-  bad("DIRECTORY: unknown condition '" + std::string(name) + "'");
+  throw_invalid_input("DIRECTORY: unknown condition '" + std::string(name) + "'");
 }
 
 struct Entry {
@@ -157,10 +157,10 @@
 class Node final : public BalancerActions {
  public:
   Node(Reply& reply, std::uint64_t who, std::uint64_t seed, element env) : reply_(reply), who_(who) {
-    const setup::Values settings(env, "CONFIGURE: env");
-    listener_count_ = setup::names(settings, "listeners").size();
-    fields_ = setup::report_fields(settings);
-    balancer_ = setup::balancer_for(settings, *this, seed);
+    const setup::JsonObject settings(env, "CONFIGURE: env");
+    listener_count_ = setup::read_names(settings, "listeners").size();
+    fields_ = setup::read_report_fields(settings);
+    balancer_ = setup::create_balancer(settings, *this, seed);
   }
 
   void at(Micros now) { balancer_->set_time(now); }
@@ -240,7 +240,7 @@
         if (!e) continue;
         double value;
         if (e->get(value)) v.wrong(field, "a number");
-        setup::set_field(report, field, value);
+        setup::set_report_field(report, field, value);
       }
     }
     balancer_->probe_ended(name(host), how, took, report);
@@ -256,7 +256,7 @@
 
   void update(const std::vector<Entry>* list, std::string_view mode) {
     if (mode == "broken") return balancer_->list_failed();
-    if (!list) bad("UPDATE: names a table that no DIRECTORY has filled");
+    if (!list) throw_invalid_input("UPDATE: names a table that no DIRECTORY has filled");
     balancer_->begin_list(mode != "patch");
     for (const Entry& e : *list) {
       balancer_->list_host(name(e.address), ZoneId{static_cast<std::uint32_t>(e.zone)},
@@ -340,9 +340,10 @@
 
   void event(element message) {
     array values;
-    if (message.get(values)) bad("an item of a batch is not a list");
+    if (message.get(values)) throw_invalid_input("an item of a batch is not a list");
     std::string_view what;
-    if (values.size() == 0 || values.at(0).get(what)) bad("an item of a batch does not start with its name");
+    if (values.size() == 0 || values.at(0).get(what))
+      throw_invalid_input("an item of a batch does not start with its name");
     Reader r(values, what, 1);
     if (what == "DIRECTORY") return directory(r);
     const std::uint64_t who = r.number("who");
@@ -357,7 +358,7 @@
     }
     const auto it = nodes.find(who);
     if (it == nodes.end())
-      bad(std::string(what) + ": instance " + std::to_string(who) + " was never configured");
+      throw_invalid_input(std::string(what) + ": instance " + std::to_string(who) + " was never configured");
     Node& node = *it->second;
     node.at(now);
     if (what == "JOB_IN")
@@ -379,7 +380,7 @@
     else if (what == "INHERITED")
       node.inherited(r);
     else if (what != "DATAGRAM")
-      bad("unknown event '" + std::string(what) + "'");
+      throw_invalid_input("unknown event '" + std::string(what) + "'");
   }
 
   std::optional<std::vector<Entry>>& table(Reader& r) {
@@ -412,7 +413,7 @@
     const std::uint64_t number = r.number_or(0, "table");
     const std::string_view mode = r.text("mode");
     if (mode != "patch" && mode != "whole" && mode != "stale_copy" && mode != "broken") {
-      bad("UPDATE: unknown mode '" + std::string(mode) + "'");
+      throw_invalid_input("UPDATE: unknown mode '" + std::string(mode) + "'");
     }
     const bool filled = mode != "broken" && number < tables.size() && tables[number];
     node.update(filled ? &*tables[number] : nullptr, mode);
@@ -425,13 +426,13 @@
 std::string_view Wire::answer(std::string_view batch) {
   element line;
   if (const auto error = inner_->parser.parse(batch.data(), batch.size()).get(line)) {
-    bad(std::string("a batch is not JSON: ") + simdjson::error_message(error));
+    throw_invalid_input(std::string("a batch is not JSON: ") + simdjson::error_message(error));
   }
   std::int64_t clock;
-  if (line["t"].get(clock)) bad("a batch has no whole number 't' for its clock");
+  if (line["t"].get(clock)) throw_invalid_input("a batch has no whole number 't' for its clock");
   inner_->now = Micros{clock};
   array items;
-  if (line["items"].get(items)) bad("a batch has no list 'items'");
+  if (line["items"].get(items)) throw_invalid_input("a batch has no list 'items'");
   inner_->reply.clear();
   for (const element e : items) inner_->event(e);
   return inner_->reply.finish();
--- a/benchlink/wire.h
+++ b/benchlink/wire.h
@@ -11,8 +11,8 @@
  public:
   Wire();
   ~Wire();
-  // One batch in, one reply out (without the line's end). Throws setup::BadInput on what the wire does not
-  // allow.
+  // One batch in, one reply out (without the line's end). Throws setup::InvalidInput on what the wire does
+  // not allow.
   std::string_view answer(std::string_view batch);
 
  private:
--- a/src/change_command.cpp
+++ b/src/change_command.cpp
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "changes/datagram.h"
-#include "setup/change_text.h"
+#include "setup/config_change.h"
 #include "view_client.h"
 
 namespace flintweir {
@@ -18,7 +18,7 @@
 using changes::Status;
 
 // Says what it has to whoever asks, and asks for what others have.
-class Client : public net::DatagramEvents, public changes::Hearer {
+class Client : public net::DatagramEvents, public changes::MessageHandler {
  public:
   Client(Address here, std::string fleet) : fleet_(std::move(fleet)) {
     here.port = 0;
@@ -35,22 +35,22 @@
     return done();
   }
   void hold(Change change) { change_ = std::move(change); }
-  void datagram_waits() override {
-    char bytes[changes::kLongestDatagram + 1];
+  void datagram_pending() override {
+    char bytes[changes::kMaxDatagramBytes + 1];
     for (;;) {
       const auto got = network_.receive(bytes, sizeof bytes);
-      if (got.how == net::Io::later) break;
+      if (got.status == net::IoStatus::would_block) break;
       came_from_ = got.from;
-      if (got.how == net::Io::done) changes::decode({bytes, got.bytes}, fleet_, *this);
+      if (got.status == net::IoStatus::done) changes::decode({bytes, got.bytes}, fleet_, *this);
     }
     network_.wait_datagram(*this);
     network_.stop();
   }
-  void want_came(const changes::Sender&, const changes::Which& of, std::uint32_t wanted) override {
-    if (of != which(change_)) return;
-    for (const std::string& one : changes::parts(me(), change_, wanted)) send(came_from_, one);
+  void on_want(const changes::Sender&, const changes::ChangeId& of, std::uint32_t wanted) override {
+    if (of != change_id(change_)) return;
+    for (const std::string& one : changes::encode_parts(me(), change_, wanted)) send(came_from_, one);
   }
-  void status_came(const changes::Sender& from, std::uint64_t nonce, const Status& status) override {
+  void on_status(const changes::Sender& from, std::uint64_t nonce, const Status& status) override {
     statuses[nonce] = {std::string(from.name), status};
   }
   std::map<std::uint64_t, std::pair<std::string, Status>> statuses;  // by the question's number
@@ -81,28 +81,28 @@
   if (!in) return std::fprintf(stderr, "flintweir: %s: can't be read\n", path.c_str()), kChangeRefused;
   Change change{ChangeNumber{number}, text.str()};
   std::vector<std::string> wrong;
-  if (change.text.size() > changes::kLongestText)
-    wrong.push_back(path + ": is over " + std::to_string(changes::kLongestText) + " bytes");
+  if (change.text.size() > changes::kMaxTextBytes)
+    wrong.push_back(path + ": is over " + std::to_string(changes::kMaxTextBytes) + " bytes");
   else
-    setup::ChangeText::of_text(change.text, path, wrong);
+    setup::ConfigChange::parse(change.text, path, wrong);
   for (const std::string& line : wrong) std::fprintf(stderr, "flintweir: %s\n", line.c_str());
   if (!wrong.empty()) return kChangeRefused;
 
   Client client(own.fleet->address, own.fleet->name);
-  const changes::Which ours = which(change);
+  const changes::ChangeId ours = change_id(change);
   client.hold(std::move(change));
   std::uint64_t nonce = 0;
   for (int tries = 0; tries < 25; ++tries) {
-    client.send(at, have(client.me(), {ours, {}}));
-    client.send(at, ask(client.me(), ++nonce));
+    client.send(at, encode_have(client.me(), {ours, {}}));
+    client.send(at, encode_query(client.me(), ++nonce));
     if (!client.wait(200ms, [&] { return client.statuses.contains(nonce); })) continue;
     const auto& [name, status] = client.statuses.at(nonce);
-    if (status.has.newest > ours) {
+    if (status.held.newest > ours) {
       std::fprintf(stderr, "flintweir: %s has change %llu, which is later\n", name.c_str(),
-                   static_cast<unsigned long long>(status.has.newest.number.value));
+                   static_cast<unsigned long long>(status.held.newest.number.value));
       return kChangeOlder;
     }
-    if (status.has.newest != ours) {
+    if (status.held.newest != ours) {
       client.wait(50ms, [] { return false; });
       continue;
     }
@@ -133,11 +133,11 @@
       asked[++nonce] = &row;
   for (int tries = 0; tries < 3; ++tries) {
     for (const auto& [no, row] : asked)
-      if (!client.statuses.contains(no)) client.send(row->address, ask(client.me(), no));
+      if (!client.statuses.contains(no)) client.send(row->address, encode_query(client.me(), no));
     if (client.wait(500ms, [&] { return client.statuses.size() == asked.size(); })) break;
   }
-  changes::Which newest;
-  for (const auto& [no, s] : client.statuses) newest = std::max(newest, s.second.has.newest);
+  changes::ChangeId newest;
+  for (const auto& [no, s] : client.statuses) newest = std::max(newest, s.second.held.newest);
   std::string out;
   bool all = true;
   char line[700];
@@ -146,15 +146,15 @@
     const Status s = it == client.statuses.end() ? Status() : it->second.second;
     const char* const is = it == client.statuses.end() ? "silent"
                            : !s.reason.empty()         ? "refused"
-                           : s.has.newest != newest    ? "behind"
+                           : s.held.newest != newest   ? "behind"
                                                        : "in-force";
-    all = all && it != client.statuses.end() && s.reason.empty() && s.has.newest == newest;
+    all = all && it != client.statuses.end() && s.reason.empty() && s.held.newest == newest;
     std::snprintf(line, sizeof line,
                   json ? "%s{\"name\":\"%s\",\"newest\":%llu,\"in_force\":%llu,\"is\":\"%s\",\"why\":\"%s\"}"
                        : "%s%-24s %20llu %20llu %-10s %s\n",
                   json && !out.empty() ? "," : "", row->name.c_str(),
-                  static_cast<unsigned long long>(s.has.newest.number.value),
-                  static_cast<unsigned long long>(s.has.in_force.number.value), is,
+                  static_cast<unsigned long long>(s.held.newest.number.value),
+                  static_cast<unsigned long long>(s.held.in_force.number.value), is,
                   json ? json_text(s.reason).c_str() : s.reason.c_str());
     out += line;
   }
--- a/src/changes/change.h
+++ b/src/changes/change.h
@@ -14,12 +14,12 @@
 // The fencing token of the lease under which it was published: larger than that of every change before it.
 using ChangeNumber = Id<struct ChangeNumberTag, std::uint64_t>;  // zero: none
 
-inline constexpr std::size_t kLongestText = 4096, kPart = 900;  // bytes; a part fits a datagram
-inline constexpr std::size_t kLongestReason = 200;
+inline constexpr std::size_t kMaxTextBytes = 4096, kPartBytes = 900;  // bytes; a part fits a datagram
+inline constexpr std::size_t kMaxReasonBytes = 200;
 
 // An empty text has one part as well.
-inline std::uint32_t parts_of(std::size_t size) {
-  return size == 0 ? 1 : static_cast<std::uint32_t>((size + kPart - 1) / kPart);
+inline std::uint32_t part_count(std::size_t size) {
+  return size == 0 ? 1 : static_cast<std::uint32_t>((size + kPartBytes - 1) / kPartBytes);
 }
 
 struct Change {
@@ -27,26 +27,26 @@
   std::string text;
 };
 
-// Which change, as told: two texts of one number, which no lease grants, are told apart by the sum, and the
-// larger one is taken everywhere.
-struct Which {
+// Which change, as told: two texts of one number, which no lease grants, are told apart by the checksum, and
+// the larger one is taken everywhere.
+struct ChangeId {
   ChangeNumber number;
-  std::uint64_t sum = 0;  // of the text
+  std::uint64_t checksum = 0;  // of the text
   std::uint32_t size = 0;
-  friend auto operator<=>(const Which&, const Which&) = default;
+  friend auto operator<=>(const ChangeId&, const ChangeId&) = default;
 };
-Which which(const Change& change);
+ChangeId change_id(const Change& change);
 
 // What a node has: the newest change that it knows, and the one it runs by, which is older where it has
 // refused the newest. Zeros: none, its own file alone.
-struct Has {
-  Which newest, in_force;
-  friend bool operator==(const Has&, const Has&) = default;
+struct HeldChanges {
+  ChangeId newest, in_force;
+  friend bool operator==(const HeldChanges&, const HeldChanges&) = default;
 };
 
 // What a node says of itself.
 struct Status {
-  Has has;
+  HeldChanges held;
   std::string reason;  // why it has refused the newest; empty: it has not
 };
 
--- a/src/changes/datagram.cpp
+++ b/src/changes/datagram.cpp
@@ -21,11 +21,11 @@
     packer_.pack_array(3 + fields);
     text(packer_, from.fleet);
     text(packer_, from.name);
-    place(packer_, from.told);
+    place(packer_, from.reply_address);
   }
   Writer& number(std::uint64_t n) { return packer_.pack(n), *this; }
-  Writer& which(const Which& w) { return number(w.number.value).number(w.sum).number(w.size); }
-  Writer& has(const Has& h) { return which(h.newest).which(h.in_force); }
+  Writer& change_id(const ChangeId& w) { return number(w.number.value).number(w.checksum).number(w.size); }
+  Writer& has(const HeldChanges& h) { return change_id(h.newest).change_id(h.in_force); }
   Writer& bytes(std::string_view b) {
     packer_.pack_bin(static_cast<std::uint32_t>(b.size()));
     packer_.pack_bin_body(b.data(), static_cast<std::uint32_t>(b.size()));
@@ -48,25 +48,25 @@
   return static_cast<std::uint32_t>(n);
 }
 
-Which which_of(Fields& f) {
-  Which out;
+ChangeId which_of(Fields& f) {
+  ChangeId out;
   out.number = ChangeNumber{f.number()};
-  out.sum = f.number();
+  out.checksum = f.number();
   out.size = small(f.number());
-  if (out.size > kLongestText) throw Malformed();
+  if (out.size > kMaxTextBytes) throw Malformed();
   return out;
 }
 
-Has has_of(Fields& f) {
-  Has out;
+HeldChanges has_of(Fields& f) {
+  HeldChanges out;
   out.newest = which_of(f);
   out.in_force = which_of(f);
   if (out.in_force > out.newest) throw Malformed();
   return out;
 }
 
-void hear(Kind kind, std::string_view bytes, std::string_view fleet, Hearer& hearer) {
-  const msgpack::unpack_limit limit(16, 0, 256, kPart, 0, 3);
+void hear(Kind kind, std::string_view bytes, std::string_view fleet, MessageHandler& hearer) {
+  const msgpack::unpack_limit limit(16, 0, 256, kPartBytes, 0, 3);
   std::size_t at = 0;
   const msgpack::object_handle whole =
       msgpack::unpack(bytes.data(), bytes.size(), at, nullptr, nullptr, limit);
@@ -75,46 +75,47 @@
   Sender from;
   from.fleet = f.text(kLongestName);
   from.name = f.text(kLongestName);
-  from.told = f.place();
+  from.reply_address = f.place();
   // Whoever asks need not know the fleet's name.
   if (kind != Kind::ask && !fleet.empty() && from.fleet != fleet) throw Malformed();
   switch (kind) {
     case Kind::have:
-      return hearer.have_came(from, has_of(f));
+      return hearer.on_have(from, has_of(f));
     case Kind::want: {
-      const Which of = which_of(f);
-      return hearer.want_came(from, of, small(f.number()));
+      const ChangeId of = which_of(f);
+      return hearer.on_want(from, of, small(f.number()));
     }
     case Kind::part: {
-      const Which of = which_of(f);
+      const ChangeId of = which_of(f);
       const std::uint32_t no = small(f.number());
-      return hearer.part_came(from, of, no, f.bytes(kPart));
+      return hearer.on_part(from, of, no, f.bytes(kPartBytes));
     }
     case Kind::ask:
-      return hearer.ask_came(from, f.number());
+      return hearer.on_query(from, f.number());
     case Kind::status: {
       const std::uint64_t nonce = f.number();
       Status s;
-      s.has = has_of(f);
-      s.reason = f.bytes(kLongestReason);
-      return hearer.status_came(from, nonce, s);
+      s.held = has_of(f);
+      s.reason = f.bytes(kMaxReasonBytes);
+      return hearer.on_status(from, nonce, s);
     }
   }
 }
 
 }  // namespace
 
-Which which(const Change& change) {
+ChangeId change_id(const Change& change) {
   return {change.number, XXH3_64bits(change.text.data(), change.text.size()),
           static_cast<std::uint32_t>(change.text.size())};
 }
 
-bool is_change(std::string_view bytes) {
+bool is_change_datagram(std::string_view bytes) {
   return bytes.size() >= kHead && bytes[0] == kMark[0] && bytes[1] == kMark[1];
 }
 
-bool decode(std::string_view bytes, std::string_view fleet, Hearer& hearer) {
-  if (!is_change(bytes) || bytes.size() > kLongestDatagram || bytes[2] != kVersion || !sealed(bytes))
+bool decode(std::string_view bytes, std::string_view fleet, MessageHandler& hearer) {
+  if (!is_change_datagram(bytes) || bytes.size() > kMaxDatagramBytes || bytes[2] != kVersion ||
+      !sealed(bytes))
     return false;
   if (bytes[3] < 1 || bytes[3] > static_cast<char>(Kind::status) || bytes[8] != 0 || bytes[9] != 0)
     return false;
@@ -128,26 +129,29 @@
   return true;
 }
 
-std::string have(const Sender& from, const Has& has) { return Writer(Kind::have, from, 6).has(has).done(); }
-std::string want(const Sender& from, const Which& of, std::uint32_t parts) {
-  return Writer(Kind::want, from, 4).which(of).number(parts).done();
+std::string encode_have(const Sender& from, const HeldChanges& has) {
+  return Writer(Kind::have, from, 6).has(has).done();
 }
-std::string part(const Sender& from, const Which& of, std::uint32_t part, std::string_view bytes) {
-  return Writer(Kind::part, from, 5).which(of).number(part).bytes(bytes).done();
+std::string encode_want(const Sender& from, const ChangeId& of, std::uint32_t parts) {
+  return Writer(Kind::want, from, 4).change_id(of).number(parts).done();
 }
-std::vector<std::string> parts(const Sender& from, const Change& of, std::uint32_t wanted) {
+std::string encode_part(const Sender& from, const ChangeId& of, std::uint32_t part, std::string_view bytes) {
+  return Writer(Kind::part, from, 5).change_id(of).number(part).bytes(bytes).done();
+}
+std::vector<std::string> encode_parts(const Sender& from, const Change& of, std::uint32_t wanted) {
   std::vector<std::string> out;
-  const Which which = changes::which(of);
-  for (std::uint32_t i = 0; i < parts_of(of.text.size()); ++i)
+  const ChangeId which = changes::change_id(of);
+  for (std::uint32_t i = 0; i < part_count(of.text.size()); ++i)
     if (wanted >> i & 1)
-      out.push_back(part(from, which, i, std::string_view(of.text).substr(i * kPart, kPart)));
+      out.push_back(
+          encode_part(from, which, i, std::string_view(of.text).substr(i * kPartBytes, kPartBytes)));
   return out;
 }
-std::string ask(const Sender& from, std::uint64_t nonce) {
+std::string encode_query(const Sender& from, std::uint64_t nonce) {
   return Writer(Kind::ask, from, 1).number(nonce).done();
 }
-std::string status(const Sender& from, std::uint64_t nonce, const Status& s) {
-  return Writer(Kind::status, from, 8).number(nonce).has(s.has).bytes(s.reason).done();
+std::string encode_status(const Sender& from, std::uint64_t nonce, const Status& s) {
+  return Writer(Kind::status, from, 8).number(nonce).has(s.held).bytes(s.reason).done();
 }
 
 }  // namespace flintweir::changes
--- a/src/changes/datagram.h
+++ b/src/changes/datagram.h
@@ -10,38 +10,38 @@
 
 namespace flintweir::changes {
 
-inline constexpr std::size_t kLongestDatagram = 1200;
+inline constexpr std::size_t kMaxDatagramBytes = 1200;
 
 struct Sender {
   std::string_view fleet, name;
-  Address told;  // where answers go
+  Address reply_address;  // where answers go
 };
 
 // Nothing comes of what is not heard.
-class Hearer {
+class MessageHandler {
  public:
-  virtual void have_came(const Sender& /*from*/, const Has& /*has*/) {}
+  virtual void on_have(const Sender& /*from*/, const HeldChanges& /*has*/) {}
   // Of that change, the parts whose bits are set.
-  virtual void want_came(const Sender& /*from*/, const Which& /*of*/, std::uint32_t /*parts*/) {}
-  virtual void part_came(const Sender& /*from*/, const Which& /*of*/, std::uint32_t /*part*/,
-                         std::string_view /*bytes*/) {}
-  virtual void ask_came(const Sender& /*from*/, std::uint64_t /*nonce*/) {}
-  virtual void status_came(const Sender& /*from*/, std::uint64_t /*nonce*/, const Status& /*status*/) {}
+  virtual void on_want(const Sender& /*from*/, const ChangeId& /*of*/, std::uint32_t /*parts*/) {}
+  virtual void on_part(const Sender& /*from*/, const ChangeId& /*of*/, std::uint32_t /*part*/,
+                       std::string_view /*bytes*/) {}
+  virtual void on_query(const Sender& /*from*/, std::uint64_t /*nonce*/) {}
+  virtual void on_status(const Sender& /*from*/, std::uint64_t /*nonce*/, const Status& /*status*/) {}
 
  protected:
-  ~Hearer() = default;
+  ~MessageHandler() = default;
 };
 
-bool is_change(std::string_view bytes);  // by its mark; it may still be malformed
+bool is_change_datagram(std::string_view bytes);  // by its mark; it may still be malformed
 // False: malformed, of another version, or of another fleet where one is named; nothing is heard then.
-bool decode(std::string_view bytes, std::string_view fleet, Hearer& hearer);
+bool decode(std::string_view bytes, std::string_view fleet, MessageHandler& hearer);
 
-std::string have(const Sender& from, const Has& has);
-std::string want(const Sender& from, const Which& of, std::uint32_t parts);
-std::string part(const Sender& from, const Which& of, std::uint32_t part, std::string_view bytes);
+std::string encode_have(const Sender& from, const HeldChanges& has);
+std::string encode_want(const Sender& from, const ChangeId& of, std::uint32_t parts);
+std::string encode_part(const Sender& from, const ChangeId& of, std::uint32_t part, std::string_view bytes);
 // Those parts of it whose bits are set, a datagram each.
-std::vector<std::string> parts(const Sender& from, const Change& of, std::uint32_t wanted);
-std::string ask(const Sender& from, std::uint64_t nonce);
-std::string status(const Sender& from, std::uint64_t nonce, const Status& status);
+std::vector<std::string> encode_parts(const Sender& from, const Change& of, std::uint32_t wanted);
+std::string encode_query(const Sender& from, std::uint64_t nonce);
+std::string encode_status(const Sender& from, std::uint64_t nonce, const Status& status);
 
 }  // namespace flintweir::changes
--- a/src/lab/checks/interleaving.cpp
+++ b/src/lab/checks/interleaving.cpp
@@ -42,10 +42,10 @@
     if (up) up();
     s.want_read();
   }
-  void came(net::Stream& s) override {
-    got += s.in().held();
-    s.in().clear();
-    if (s.at_end()) over = true;
+  void input_ready(net::Stream& s) override {
+    got += s.input().buffered();
+    s.input().clear();
+    if (s.at_eof()) over = true;
     if (heard) heard();
     s.want_read();
   }
@@ -55,7 +55,7 @@
     if (heard) heard();
   }
   void say(std::string_view text) {
-    if (stream.open() && !stream.shut()) stream.write(text);
+    if (stream.open() && !stream.send_closed()) stream.write(text);
   }
   net::Stream stream;
   std::string got;
@@ -70,8 +70,8 @@
     process.listen(Fabric::address(machine, 8081));
     process.wait_accept(*this);
   }
-  void connection_waits() override {
-    for (net::Accepted a = process.accept(); a.how == net::Io::done; a = process.accept()) {
+  void connection_pending() override {
+    for (net::AcceptResult a = process.accept(); a.status == net::IoStatus::done; a = process.accept()) {
       End& end = ends.emplace_back(sockets);
       end.stream.adopt(a.socket, end);
       end.heard = [this, &end] { heard(end); };
@@ -97,7 +97,7 @@
         hosts_{{fabric_, fabric_.add_machine({1})}, {fabric_, fabric_.add_machine({1})}},
         lists_{{fabric_, fabric_.add_machine({0})}, {fabric_, fabric_.add_machine({0})}},
         end_(kStart + (c.text == Interleaving::Text::list ? kListLasts : kLasts)) {
-    net::log_to(this);
+    net::set_log_sink(this);
     for (std::size_t i = 0; i < 2; ++i) {
       hosts_[i].heard = [this, i](End& e) { host_heard(i, e); };
       lists_[i].heard = [this, i](End& e) { list_heard(i, e); };
@@ -111,7 +111,7 @@
   ~Play() {
     process_->kill();
     node_.reset();
-    net::log_to(nullptr);
+    net::set_log_sink(nullptr);
   }
 
   std::vector<std::string> run() {
@@ -236,14 +236,14 @@
     switch (c_.event) {
       case E::client_ends:
         first.left = now();
-        return first.end.stream.end_sending();
+        return first.end.stream.shutdown_send();
       case E::client_resets:
         first.left = now();
         return first.end.stream.abort();
       case E::host_ends:
       case E::host_resets:
         first.host_failed = true;
-        if (dial) c_.event == E::host_ends ? dial->stream.end_sending() : dial->stream.abort();
+        if (dial) c_.event == E::host_ends ? dial->stream.shutdown_send() : dial->stream.abort();
         return;
       case E::stop:
         stopped_at_ = now() + when_free();
@@ -333,7 +333,7 @@
     const auto finish = [this, &e, sent = std::make_shared<std::size_t>(0)](std::string_view part) {
       e.say(part);
       if ((*sent += part.size()) == kServed.size())
-        timeline_.after(kCrosses, [&e] { e.stream.end_sending(); });
+        timeline_.after(kCrosses, [&e] { e.stream.shutdown_send(); });
     };
     if (c->number == 1 && c_.text == Interleaving::Text::host) return cut(kServed, c_.byte, finish);
     finish(kServed);
--- a/src/lab/fleet/change_rig.cpp
+++ b/src/lab/fleet/change_rig.cpp
@@ -16,13 +16,13 @@
 
 using namespace std::chrono_literals;
 using changes::Change;
+using changes::ChangeId;
 using changes::ChangeNumber;
-using changes::Which;
 
 constexpr Micros kLook = 200ms;
 
 // Publishes changes, and asks processes what they have.
-class Publisher final : net::DatagramEvents, changes::Hearer {
+class Publisher final : net::DatagramEvents, changes::MessageHandler {
  public:
   using Seen = std::function<void(RigPlace, const changes::Status&)>;
   Publisher(RigStage& stage, Seen seen) : stage_(stage), seen_(std::move(seen)) {
@@ -31,13 +31,13 @@
   }
   // `parts`: what is given of it; fewer where its publisher dies meanwhile.
   void publish(const Change& change, RigPlace to, std::uint32_t parts = ~0u) {
-    held_[which(change)] = {change, parts};
-    send(to, have(me(), {which(change), {}}));
+    held_[change_id(change)] = {change, parts};
+    send(to, encode_have(me(), {change_id(change), {}}));
   }
   void ask(RigPlace whom) {
     const std::uint64_t nonce = ++nonces_;
     asked_[nonce] = whom;
-    send(whom, changes::ask(me(), nonce));
+    send(whom, changes::encode_query(me(), nonce));
     asked_.erase(asked_.begin(), asked_.lower_bound(nonce > 20000 ? nonce - 20000 : 0));
   }
 
@@ -46,29 +46,29 @@
   void send(RigPlace to, const std::string& bytes) {
     stage_.onlooker().send_datagram(stage_.hears_at(to), bytes);
   }
-  void datagram_waits() override {
-    char bytes[changes::kLongestDatagram + 1];
+  void datagram_pending() override {
+    char bytes[changes::kMaxDatagramBytes + 1];
     for (;;) {
-      const net::Received got = stage_.onlooker().receive(bytes, sizeof bytes);
-      if (got.how == net::Io::later) break;
+      const net::ReceiveResult got = stage_.onlooker().receive(bytes, sizeof bytes);
+      if (got.status == net::IoStatus::would_block) break;
       came_from_ = got.from;
-      if (got.how == net::Io::done) changes::decode({bytes, got.bytes}, "", *this);
+      if (got.status == net::IoStatus::done) changes::decode({bytes, got.bytes}, "", *this);
     }
     stage_.onlooker().wait_datagram(*this);
   }
-  void want_came(const changes::Sender&, const Which& of, std::uint32_t wanted) override {
+  void on_want(const changes::Sender&, const ChangeId& of, std::uint32_t wanted) override {
     const auto it = held_.find(of);
     if (it == held_.end()) return;
-    for (const std::string& one : changes::parts(me(), it->second.first, wanted & it->second.second))
+    for (const std::string& one : changes::encode_parts(me(), it->second.first, wanted & it->second.second))
       stage_.onlooker().send_datagram(came_from_, one);
   }
-  void status_came(const changes::Sender&, std::uint64_t nonce, const changes::Status& status) override {
+  void on_status(const changes::Sender&, std::uint64_t nonce, const changes::Status& status) override {
     if (const auto it = asked_.find(nonce); it != asked_.end()) seen_(it->second, status);
   }
 
   RigStage& stage_;
   Seen seen_;
-  std::map<Which, std::pair<Change, std::uint32_t>> held_;
+  std::map<ChangeId, std::pair<Change, std::uint32_t>> held_;
   std::map<std::uint64_t, RigPlace> asked_;
   Address came_from_;  // past all relays, as the question came
   std::uint64_t nonces_ = 0;
@@ -134,11 +134,11 @@
  private:
   struct Unit {
     bool up = false, frozen = false;
-    changes::Has has;
+    changes::HeldChanges held;
     std::size_t sent = 0;
   };
   struct Published {
-    Which which;
+    ChangeId which;
     bool refused = false, refused_by_odd = false;
     Micros at;
     bool known = false;
@@ -176,14 +176,14 @@
   // A change that every node can take, of any size.
   std::string text() {
     std::string out = "[listener.chat]\nutility = " + std::to_string(1 + chance_() % 9) + '\n';
-    const std::size_t size = chance_() % (changes::kLongestText - 100);
+    const std::size_t size = chance_() % (changes::kMaxTextBytes - 100);
     while (out.size() < size) out += "# " + std::to_string(chance_()) + '\n';
     return out;
   }
   void publish(const std::string& text, bool refused = false, bool by_odd = false,
                std::uint32_t parts = ~0u) {
     const Change change{ChangeNumber{++number_ * 1000}, text};
-    published_.push_back({which(change), refused, by_odd, stage_.now(), false});
+    published_.push_back({change_id(change), refused, by_odd, stage_.now(), false});
     std::vector<unsigned> up;
     for (unsigned i = 0; i < units_.size(); ++i)
       if (units_[i].up && !units_[i].frozen) up.push_back(i);
@@ -262,7 +262,7 @@
       // The publisher of a former number comes back late and says it again to everybody.
       after(plan_.lasts / 2, [this] {
         const Change old{ChangeNumber{1}, "[listener.chat]\nutility = 8\n"};
-        published_.push_back({which(old), false, false, stage_.now(), true});
+        published_.push_back({change_id(old), false, false, stage_.now(), true});
         for (unsigned i = 0; i < plan_.nodes; ++i) publisher_.publish(old, {i, 0});
       });
     }
@@ -279,7 +279,7 @@
     after(kLook / (plan_.nodes > 100 ? 1 : 4), [this] { look(); });
   }
 
-  const Published* published(const Which& w) const {
+  const Published* published(const ChangeId& w) const {
     for (const Published& p : published_)
       if (p.which == w) return &p;
     return nullptr;
@@ -295,26 +295,26 @@
     const std::string who = "n" + std::to_string(place.node);
     // An answer of a process before this one comes after its start by a little at most: those of a new one
     // rise.
-    if (s.has.newest < u.has.newest || s.has.in_force < u.has.in_force) {
+    if (s.held.newest < u.held.newest || s.held.in_force < u.held.in_force) {
       if (stage_.now() - started_[place.node] > 500ms)
         broken("back", who + " has an older change than before");
     }
-    for (const Which& w : {s.has.newest, s.has.in_force})
+    for (const ChangeId& w : {s.held.newest, s.held.in_force})
       if (w.number.value && !published(w))
         broken("whole",
                who + " has change " + std::to_string(w.number.value) + ", which nobody published so");
-    if (const Published* p = published(s.has.in_force); p && refuses(*p, place.node))
+    if (const Published* p = published(s.held.in_force); p && refuses(*p, place.node))
       broken("refused", who + " runs by a change that does not fit it");
-    if (s.has.in_force != s.has.newest && s.reason.empty())
+    if (s.held.in_force != s.held.newest && s.reason.empty())
       broken("refused", who + " does not run by the newest and says no reason");
-    u.has = s.has;
+    u.held = s.held;
     note_known();
   }
   void note_known() {
     for (Published& p : published_) {
       if (p.known || p.which.number.value == 0) continue;
       const bool all = std::all_of(units_.begin(), units_.end(), [&](const Unit& u) {
-        return !u.up || u.frozen || u.has.newest >= p.which;
+        return !u.up || u.frozen || u.held.newest >= p.which;
       });
       if (!all) continue;
       p.known = true;
@@ -324,20 +324,20 @@
 
   // By now all that run have the newest, and run by the newest that fits them.
   void judge(const std::string& rule) {
-    Which newest;
+    ChangeId newest;
     for (const Published& p : published_) newest = std::max(newest, p.which);
     for (unsigned i = 0; i < units_.size(); ++i) {
       const Unit& u = units_[i];
       if (!u.up) continue;
-      Which fits;
+      ChangeId fits;
       for (const Published& p : published_)
         if (!refuses(p, i)) fits = std::max(fits, p.which);
       const std::string who = "n" + std::to_string(i);
-      if (u.has.newest != newest)
-        broken(rule, who + " has change " + std::to_string(u.has.newest.number.value) + ", not " +
+      if (u.held.newest != newest)
+        broken(rule, who + " has change " + std::to_string(u.held.newest.number.value) + ", not " +
                          std::to_string(newest.number.value));
-      else if (u.has.in_force != fits)
-        broken(rule, who + " runs by change " + std::to_string(u.has.in_force.number.value) + ", not " +
+      else if (u.held.in_force != fits)
+        broken(rule, who + " runs by change " + std::to_string(u.held.in_force.number.value) + ", not " +
                          std::to_string(fits.number.value));
     }
   }
--- a/src/lab/fleet/hollow.cpp
+++ b/src/lab/fleet/hollow.cpp
@@ -14,8 +14,8 @@
 #include "lab/network/spawn.h"
 #include "net/kernel_network.h"
 #include "net/log.h"
-#include "net/nowhere.h"
-#include "net/wakes.h"
+#include "net/null_network.h"
+#include "net/timer_queue.h"
 #include "node/peers.h"
 
 namespace flintweir::lab {
@@ -37,18 +37,18 @@
 }
 
 // The kernel's datagrams, of which some get lost and none cross a cut.
-class Lossy final : public net::Nowhere {
+class Lossy final : public net::NullNetwork {
  public:
   using Passes = std::function<bool(const Address&)>;
   // `all` is added to, also by those that are gone by then.
   Lossy(net::KernelNetwork& beside, std::uint64_t& all, Passes passes)
       : all_(all), network_(beside), passes_(std::move(passes)) {}
-  ~Lossy() { network_.retire(); }
+  ~Lossy() { network_.shut_down(); }
   Micros now() const override { return network_.now(); }
-  void ring(Micros at, net::Alarm& whom) override { network_.ring(at, whom); }
+  void set_alarm(Micros at, net::AlarmEvents& whom) override { network_.set_alarm(at, whom); }
   Address open_datagrams(const Address& at) override { return network_.open_datagrams(at); }
   void wait_datagram(net::DatagramEvents& whom) override { network_.wait_datagram(whom); }
-  net::Received receive(char* to, std::size_t size) override { return network_.receive(to, size); }
+  net::ReceiveResult receive(char* to, std::size_t size) override { return network_.receive(to, size); }
   void send_datagram(const Address& to, std::string_view bytes) override {
     sent += bytes.size();
     all_ += bytes.size();
@@ -64,9 +64,9 @@
 
 struct Member {
   Member(net::KernelNetwork& loop, std::uint64_t& all, Lossy::Passes passes)
-      : network(loop, all, std::move(passes)), wakes(network) {}
+      : network(loop, all, std::move(passes)), timers(network) {}
   Lossy network;
-  net::Wakes wakes;
+  net::TimerQueue timers;
   std::unique_ptr<node::Peers> peers;
   std::uint64_t sent_before = 0;
 };
@@ -78,13 +78,13 @@
         program_(std::move(program)),
         folder_(std::move(folder)),
         members_(plan.members - plan.real) {
-    net::log_to(this);
+    net::set_log_sink(this);
     zones_ = 10;  // 2 regions of 5
   }
   ~Hollow() {
     members_.clear();
     processes_.clear();
-    net::log_to(nullptr);
+    net::set_log_sink(nullptr);
   }
 
   HollowOutcome play() {
@@ -155,7 +155,7 @@
 
  private:
   // Lines of hollow ones: who has failed, as each of them says it.
-  void line(const char* text) override {
+  void write_line(const char* text) override {
     const std::string_view t = text;
     if (!t.starts_with("member name=")) return;
     const std::string_view name = t.substr(12, t.find(' ', 12) - 12);
@@ -181,8 +181,8 @@
     numbers_[place(i)] = i;
     auto m =
         std::make_unique<Member>(loop_, all_sent_, [this, i](const Address& to) { return passes(i, to); });
-    m->peers = std::make_unique<node::Peers>(m->network, m->wakes, section(i), "h" + std::to_string(i), "lab",
-                                             mix(i * 77 + 5), [](unsigned) {});
+    m->peers = std::make_unique<node::Peers>(m->network, m->timers, section(i), "h" + std::to_string(i),
+                                             "lab", mix(i * 77 + 5), [](unsigned) {});
     m->peers->carry({}, [](const changes::Change&) { return std::string(); });
     m->peers->begin();
     members_[i] = std::move(m);
--- a/src/lab/fleet/plain_peers.cpp
+++ b/src/lab/fleet/plain_peers.cpp
@@ -18,10 +18,10 @@
 
 }  // namespace
 
-PlainPeers::PlainPeers(net::Network& network, net::Wakes& wakes, PlainWay way, const Address& at,
+PlainPeers::PlainPeers(net::Network& network, net::TimerQueue& timers, PlainWay way, const Address& at,
                        std::string name, std::vector<Address> seeds, Micros interval, std::uint64_t seed)
     : network_(network),
-      wakes_(wakes),
+      timers_(timers),
       way_(way),
       at_(at),
       name_(std::move(name)),
@@ -32,25 +32,25 @@
 void PlainPeers::begin() {
   network_.open_datagrams(at_);
   network_.wait_datagram(*this);
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   members_[name_] = {
       Generation{static_cast<std::uint64_t>(now.count())}, 0, MemberState::alive, at_, now, now, 0};
-  wakes_.after(Micros{static_cast<std::int64_t>(below(static_cast<std::size_t>(interval_.count())))}, *this,
-               static_cast<std::uint64_t>(Due::beat));
+  timers_.schedule(Micros{static_cast<std::int64_t>(below(static_cast<std::size_t>(interval_.count())))},
+                   *this, static_cast<std::uint64_t>(Due::beat));
 }
 
-void PlainPeers::datagram_waits() {
+void PlainPeers::datagram_pending() {
   char bytes[kMaxDatagramBytes + 1];
   for (;;) {
-    const net::Received got = network_.receive(bytes, sizeof bytes);
-    if (got.how == net::Io::later) break;
+    const net::ReceiveResult got = network_.receive(bytes, sizeof bytes);
+    if (got.status == net::IoStatus::would_block) break;
     came_from_ = got.from;
-    if (got.how == net::Io::done) decode({bytes, got.bytes}, "lab", *this);
+    if (got.status == net::IoStatus::done) decode({bytes, got.bytes}, "lab", *this);
   }
   network_.wait_datagram(*this);
 }
 
-void PlainPeers::woken(std::uint64_t token) {
+void PlainPeers::timer_expired(std::uint64_t token) {
   const auto due = static_cast<Due>(token & 3);
   if (due == Due::beat) {
     for (const Address& seed : seeds_) {
@@ -60,7 +60,7 @@
       if (!known) send(MessageKind::ping, seed, Nonce{++nonces_});
     }
     way_ == PlainWay::heartbeats ? beat_to_all() : probe();
-    return wakes_.after(interval_, *this, static_cast<std::uint64_t>(Due::beat));
+    return timers_.schedule(interval_, *this, static_cast<std::uint64_t>(Due::beat));
   }
   const auto it = members_.find(probed_);
   if (answered_ || it == members_.end() || token >> 2 != probe_nonce_) return;
@@ -81,13 +81,13 @@
   for (auto& [name, m] : members_) {
     if (name == name_) continue;
     send(MessageKind::ping, m.address, Nonce{++nonces_});
-    if (there(m.standing) && wakes_.now() - m.heard > interval_ * kSilence) set(m, MemberState::failed);
+    if (there(m.standing) && timers_.now() - m.heard > interval_ * kSilence) set(m, MemberState::failed);
   }
 }
 
 void PlainPeers::probe() {
   for (auto& [name, m] : members_)
-    if (m.standing == MemberState::suspected && wakes_.now() - m.since > interval_ * kSilence)
+    if (m.standing == MemberState::suspected && timers_.now() - m.since > interval_ * kSilence)
       set(m, MemberState::failed);
   if (order_.empty()) {
     for (const auto& [name, m] : members_)
@@ -102,13 +102,13 @@
   answered_ = false;
   probe_nonce_ = ++nonces_;
   send(MessageKind::ping, it->second.address, Nonce{probe_nonce_});
-  wakes_.after(interval_ / 3, *this, probe_nonce_ << 2 | static_cast<std::uint64_t>(Due::direct));
-  wakes_.after(interval_ * 9 / 10, *this, probe_nonce_ << 2 | static_cast<std::uint64_t>(Due::over));
+  timers_.schedule(interval_ / 3, *this, probe_nonce_ << 2 | static_cast<std::uint64_t>(Due::direct));
+  timers_.schedule(interval_ * 9 / 10, *this, probe_nonce_ << 2 | static_cast<std::uint64_t>(Due::over));
 }
 
 void PlainPeers::set(Member& m, MemberState standing) {
   m.standing = standing;
-  m.since = wakes_.now();
+  m.since = timers_.now();
   m.sends = 3 * static_cast<int>(std::ceil(std::log2(static_cast<double>(members_.size()) + 1)));
 }
 
@@ -127,7 +127,7 @@
     // Who is told of by another is heard from itself soon, or not at all.
     if (!fresh && !own) return;
     if (!fresh && w.generation < m.start) return;
-    m.heard = wakes_.now();
+    m.heard = timers_.now();
     const bool back = fresh || !there(m.standing);
     m.start = w.generation, m.address = w.address;
     if (back) set(m, MemberState::alive);
@@ -147,7 +147,7 @@
 
 void PlainPeers::on_ping(const Sender& from, Nonce nonce) {
   const auto it = members_.find(from.name);
-  const bool fresh = it == members_.end() || wakes_.now() - it->second.since < interval_ * 2;
+  const bool fresh = it == members_.end() || timers_.now() - it->second.since < interval_ * 2;
   if (way_ == PlainWay::swim || fresh) send(MessageKind::ack, from.address, nonce, fresh);
 }
 
@@ -210,7 +210,7 @@
     writer.view_page(last);
     auto it = begin;
     while (it != members_.end() &&
-           writer.add(update_of(it->first, it->second), wakes_.now() - it->second.since))
+           writer.add(update_of(it->first, it->second), timers_.now() - it->second.since))
       ++it;
     if (it == members_.end() || !last) return network_.send_datagram(came_from_, writer.finish());
   }
--- a/src/lab/fleet/plain_peers.h
+++ b/src/lab/fleet/plain_peers.h
@@ -9,16 +9,16 @@
 #include <vector>
 
 #include "members/datagram.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 
 namespace flintweir::lab {
 
 enum class PlainWay { heartbeats, swim };
 
-class PlainPeers final : members::DatagramHandler, net::DatagramEvents, net::Woken {
+class PlainPeers final : members::DatagramHandler, net::DatagramEvents, net::TimerEvents {
  public:
-  PlainPeers(net::Network& network, net::Wakes& wakes, PlainWay way, const Address& at, std::string name,
-             std::vector<Address> seeds, Micros interval, std::uint64_t seed);
+  PlainPeers(net::Network& network, net::TimerQueue& timers, PlainWay way, const Address& at,
+             std::string name, std::vector<Address> seeds, Micros interval, std::uint64_t seed);
   void begin();
 
  private:
@@ -33,8 +33,8 @@
   enum class Due : std::uint64_t { beat, direct, over };
   using Members = std::map<std::string, Member, std::less<>>;
 
-  void datagram_waits() override;
-  void woken(std::uint64_t token) override;
+  void datagram_pending() override;
+  void timer_expired(std::uint64_t token) override;
   void on_update(const members::Sender& from, const members::MemberUpdate& w) override;
   void on_ping(const members::Sender& from, members::Nonce nonce) override;
   void on_ack(const members::Sender& from, members::Nonce nonce) override;
@@ -51,7 +51,7 @@
   std::size_t below(std::size_t n) { return chance_() % n; }
 
   net::Network& network_;
-  net::Wakes& wakes_;
+  net::TimerQueue& timers_;
   PlainWay way_;
   Address at_, came_from_;
   std::string name_;
--- a/src/lab/fleet/rig.cpp
+++ b/src/lab/fleet/rig.cpp
@@ -43,13 +43,13 @@
     Got got;
     Micros heard{0};
   };
-  void datagram_waits() override {
+  void datagram_pending() override {
     char bytes[members::kMaxDatagramBytes + 1];
     for (;;) {
-      const net::Received r = stage_.onlooker().receive(bytes, sizeof bytes);
-      if (r.how == net::Io::later) break;
+      const net::ReceiveResult r = stage_.onlooker().receive(bytes, sizeof bytes);
+      if (r.status == net::IoStatus::would_block) break;
       const auto it = asked_.find(r.from);
-      if (r.how != net::Io::done || it == asked_.end()) continue;
+      if (r.status != net::IoStatus::done || it == asked_.end()) continue;
       if (it->second.asker.received({bytes, r.bytes})) {
         const Asked done = std::move(it->second);
         asked_.erase(it);
--- a/src/lab/fleet/rig_loopback.cpp
+++ b/src/lab/fleet/rig_loopback.cpp
@@ -39,16 +39,16 @@
     network_.open_datagrams(rig.told_at(of));
     network_.wait_datagram(*this);
   }
-  ~Relay() { network_.retire(); }
+  ~Relay() { network_.shut_down(); }
 
  private:
-  void datagram_waits() override {
+  void datagram_pending() override {
     char bytes[2048];
     for (;;) {
-      const net::Received got = network_.receive(bytes, sizeof bytes);
-      if (got.how == net::Io::later) break;
+      const net::ReceiveResult got = network_.receive(bytes, sizeof bytes);
+      if (got.status == net::IoStatus::would_block) break;
       const auto from = rig_.senders_.find(got.from);
-      if (got.how != net::Io::done || from == rig_.senders_.end()) continue;
+      if (got.status != net::IoStatus::done || from == rig_.senders_.end()) continue;
       if (rig_.on_sent) rig_.on_sent(from->second, got.bytes);
       const Post& way = rig_.way(from->second.node, of_.node);
       for (auto& [in, copy] : carried(way, rig_.chance_, {bytes, got.bytes})) {
@@ -74,21 +74,21 @@
     network_.listen(at);
     network_.wait_accept(*this);
   }
-  ~Host() { network_.retire(); }
+  ~Host() { network_.shut_down(); }
 
  private:
   struct Call final : net::SocketEvents {
     Call(net::Network& of, net::SocketKey at) : network(of), socket(at) {
-      network.tell(socket, *this);
+      network.set_events(socket, *this);
       network.wait_read(socket);
     }
     void connected(net::ConnectResult) override {}
     void writable(bool) override {}
     void readable(bool broken) override {
       char bytes[512];
-      const net::Passed got =
-          broken ? net::Passed{0, net::Io::broken} : network.read(socket, bytes, sizeof bytes);
-      if (got.bytes == 0 && got.how != net::Io::later) {
+      const net::IoResult got =
+          broken ? net::IoResult{0, net::IoStatus::failed} : network.read(socket, bytes, sizeof bytes);
+      if (got.bytes == 0 && got.status != net::IoStatus::would_block) {
         over = true;
         return network.close(socket, true);
       }
@@ -108,9 +108,9 @@
     std::string in;
     bool over = false;
   };
-  void connection_waits() override {
+  void connection_pending() override {
     std::erase_if(calls_, [](const auto& c) { return c->over; });
-    for (net::Accepted next; (next = network_.accept()).how == net::Io::done;)
+    for (net::AcceptResult next; (next = network_.accept()).status == net::IoStatus::done;)
       calls_.push_back(std::make_unique<Call>(network_, next.socket));
     network_.wait_accept(*this);
   }
@@ -143,8 +143,8 @@
   }
   void readable(bool broken) override {
     char bytes[64];
-    const net::Passed got =
-        broken ? net::Passed{0, net::Io::broken} : network_.read(socket_, bytes, sizeof bytes);
+    const net::IoResult got =
+        broken ? net::IoResult{0, net::IoStatus::failed} : network_.read(socket_, bytes, sizeof bytes);
     const std::string_view said(bytes, got.bytes);
     if (!said.starts_with("BUSY")) return end(said.starts_with("UP "));
     network_.close(std::exchange(socket_, {}), true);
--- a/src/lab/fleet/rig_virtual.cpp
+++ b/src/lab/fleet/rig_virtual.cpp
@@ -3,7 +3,7 @@
 #include <cstdio>
 
 #include "numbers.h"
-#include "setup/change_text.h"
+#include "setup/config_change.h"
 
 namespace flintweir::lab {
 
@@ -15,12 +15,12 @@
 std::string fits(const changes::Change& change, unsigned node) {
   std::vector<std::string> wrong, names{"chat"};
   if (node % 2 == 0) names.emplace_back("even");
-  setup::Running own;
+  setup::RuntimeSettings own;
   own.listeners.assign(names.size(), Listener{500ms, 2s, Effect::repeatable, DedupScope::all, 1s, 1});
   own.dials = DialLimits{4, 0us};
   own.prices = Prices{0, 0.0};
-  const auto text = setup::ChangeText::of_text(change.text, "change", wrong);
-  if (wrong.empty()) setup::changed(own, names, text, wrong);
+  const auto text = setup::ConfigChange::parse(change.text, "change", wrong);
+  if (wrong.empty()) setup::apply_change(own, names, text, wrong);
   return wrong.empty() ? "" : wrong.front();
 }
 
@@ -45,15 +45,15 @@
     if (on_sent) on_sent({from.value % nodes_, from.value / nodes_}, bytes);
     return &ways_[from.value % nodes_ * nodes_ + to.value % nodes_];
   });
-  net::log_to(this);
+  net::set_log_sink(this);
 }
 
 RigVirtual::~RigVirtual() {
   units_.clear();
-  net::log_to(nullptr);
+  net::set_log_sink(nullptr);
 }
 
-void RigVirtual::line(const char* text) {
+void RigVirtual::write_line(const char* text) {
   const std::uint32_t machine = called_ ? this->machine(*called_).value : fabric_.acting().value;
   if (const auto it = units_.find({machine % nodes_, machine / nodes_}); it != units_.end())
     it->second.log.emplace_back(text);
@@ -83,7 +83,7 @@
   if (const auto back = clocks_back_.find(at); back != clocks_back_.end())
     u.process->set_clock_back(back->second);
   if (const auto rate = rates_.find(at); rate != rates_.end()) u.process->set_rate(rate->second);
-  u.wakes = std::make_unique<net::Wakes>(*u.process);
+  u.timers = std::make_unique<net::TimerQueue>(*u.process);
 }
 
 void RigVirtual::start(RigPlace at, const std::string& name, const std::vector<RigPlace>& seeds) {
@@ -91,11 +91,11 @@
   Unit& u = units_[at];
   u.start = ++starts_;
   if (plain_) {
-    u.plain = std::make_unique<PlainPeers>(*u.process, *u.wakes, *plain_, hears_at(at), name,
+    u.plain = std::make_unique<PlainPeers>(*u.process, *u.timers, *plain_, hears_at(at), name,
                                            section(at, seeds).seeds, interval_, mix(seed_ * 4096 + starts_));
     return u.plain->begin();
   }
-  u.peers = std::make_unique<node::Peers>(*u.process, *u.wakes, section(at, seeds), name, "lab",
+  u.peers = std::make_unique<node::Peers>(*u.process, *u.timers, section(at, seeds), name, "lab",
                                           mix(seed_ * 4096 + starts_), [](unsigned) {});
   if (leases_) u.peers->vote(*leases_);
   if (carries_) u.peers->carry({}, [at](const changes::Change& c) { return fits(c, at.node); });
--- a/src/lab/fleet/rig_virtual.h
+++ b/src/lab/fleet/rig_virtual.h
@@ -43,10 +43,10 @@
   void vote(const setup::LeasesSection& leases) { leases_ = leases; }
   // Its clock for leases, of what starts there next.
   void set_rate(RigPlace at, double rate) { rates_[at] = rate; }
-  // A process and its wakes alone, for whoever runs something of his own there.
+  // A process and its timers alone, for whoever runs something of his own there.
   void start_bare(RigPlace at);
   net::Network& process(RigPlace at) { return *units_.at(at).process; }
-  net::Wakes& wakes(RigPlace at) { return *units_.at(at).wakes; }
+  net::TimerQueue& timers(RigPlace at) { return *units_.at(at).timers; }
   void read_logs(const std::function<void(RigPlace, std::string_view)>& line) override;
 
  private:
@@ -54,7 +54,7 @@
   static constexpr Micros kStart{1'700'000'000'000'000};
   struct Unit {
     std::unique_ptr<Process> process;
-    std::unique_ptr<net::Wakes> wakes;
+    std::unique_ptr<net::TimerQueue> timers;
     std::unique_ptr<node::Peers> peers;  // or
     std::unique_ptr<PlainPeers> plain;
     std::vector<std::string> log;
@@ -62,7 +62,7 @@
   };
   MachineNo machine(RigPlace at) const { return MachineNo{at.address * nodes_ + at.node}; }
   setup::FleetSection section(RigPlace at, const std::vector<RigPlace>& seeds) const;
-  void line(const char* text) override;
+  void write_line(const char* text) override;
 
   static constexpr unsigned kAddresses = 6;  // of each node
   unsigned nodes_;
--- a/src/lab/leases/lease_rig.cpp
+++ b/src/lab/leases/lease_rig.cpp
@@ -118,7 +118,7 @@
     stage_.add_section(section_);
     ledger_.runs = [](int pid) { return runs(pid); };
   }
-  ~Processes() override { network_.retire(); }
+  ~Processes() override { network_.shut_down(); }
   RigStage& rig() override { return stage_; }
   unsigned holders() const override { return kProcesses; }
   void start_voter(unsigned v) override {
@@ -154,12 +154,12 @@
 
  private:
   std::string promises_of(unsigned v) const { return folder_ + "/promises-" + std::to_string(v); }
-  void datagram_waits() override {
+  void datagram_pending() override {
     char bytes[128];
     for (;;) {
-      const net::Received got = network_.receive(bytes, sizeof bytes - 1);
-      if (got.how == net::Io::later) break;
-      if (got.how != net::Io::done) continue;
+      const net::ReceiveResult got = network_.receive(bytes, sizeof bytes - 1);
+      if (got.status == net::IoStatus::would_block) break;
+      if (got.status != net::IoStatus::done) continue;
       bytes[got.bytes] = 0;
       unsigned long long token = 0;
       int as = 0, pid = 0;
@@ -220,19 +220,19 @@
   std::map<std::uint64_t, std::set<unsigned>> held() override { return held_; }
 
  private:
-  struct One final : node::Holder::Told, net::Woken {
+  struct One final : node::Holder::Told, net::TimerEvents {
     One(Virtual& of, unsigned h, int pid)
         : of(of),
           h(h),
           pid(pid),
-          wakes(of.stage_.wakes({kVoters + h, 0})),
-          holder(of.stage_.process({kVoters + h, 0}), wakes, of.own_, kLease,
+          timers(of.stage_.timers({kVoters + h, 0})),
+          holder(of.stage_.process({kVoters + h, 0}), timers, of.own_, kLease,
                  "h" + std::to_string(h) + '/' + std::to_string(pid), of.stage_.hears_at({kVoters + h, 0}),
                  std::nullopt, mix(of.seed_ * 1024 + static_cast<std::uint64_t>(pid)), *this) {}
     void held(leases::Token t) override {
       of.held_[t.value].insert(h);
       token = t.value;
-      if (!std::exchange(waked, true)) wakes.after(1ms, *this, 0);
+      if (!std::exchange(waked, true)) timers.schedule(1ms, *this, 0);
     }
     void lost(leases::Token, std::string_view) override { token = 0; }
     void waits(std::string_view) override {}
@@ -240,22 +240,22 @@
       leaves = true;
       if (acting == 0) holder.let_go();
     }
-    void woken(std::uint64_t) override {
+    void timer_expired(std::uint64_t) override {
       if (acting != 0) {
         of.ledger_.end(std::exchange(acting, 0), pid);
         if (leaves) return holder.let_go();
-        return wakes.after(kActTakes / 6, *this, 0);
+        return timers.schedule(kActTakes / 6, *this, 0);
       }
       // Only where it fits into what is left, by a clock that may be fast.
       if (token != 0 && !leaves && holder.left() > kActTakes + kActTakes / 50 &&
           of.ledger_.begin({token, static_cast<int>(h), pid}))
         acting = token;
-      wakes.after(kActTakes, *this, 0);
+      timers.schedule(kActTakes, *this, 0);
     }
     Virtual& of;
     unsigned h;
     int pid;
-    net::Wakes& wakes;
+    net::TimerQueue& timers;
     std::uint64_t token = 0, acting = 0;
     bool waked = false, leaves = false;
     node::Holder holder;
@@ -456,10 +456,10 @@
   if (!token || !at) return 2;
   std::signal(SIGTERM, [](int) { told_to_end = 1; });
   struct Answer final : net::DatagramEvents {
-    void datagram_waits() override {
+    void datagram_pending() override {
       char bytes[16];
-      const net::Received got = network.receive(bytes, sizeof bytes);
-      if (got.how == net::Io::done) said = std::string(bytes, got.bytes);
+      const net::ReceiveResult got = network.receive(bytes, sizeof bytes);
+      if (got.status == net::IoStatus::done) said = std::string(bytes, got.bytes);
       network.wait_datagram(*this);
       network.stop();
     }
--- a/src/lab/models/baselines.cpp
+++ b/src/lab/models/baselines.cpp
@@ -204,12 +204,12 @@
 }  // namespace
 
 node::MakeBalancer balancer_named(const std::string& name) {
-  if (name == "module") return setup::balancer_for;
+  if (name == "module") return setup::create_balancer;
   const Way way = name == "random" ? Way::random : name == "round-robin" ? Way::in_turn : Way::fewest;
-  return [way](const setup::Values& settings, BalancerActions& out,
+  return [way](const setup::JsonObject& settings, BalancerActions& out,
                std::uint64_t seed) -> std::unique_ptr<Balancer> {
-    const setup::Values ceilings(settings, "ceilings"), rules(settings, "rules");
-    return std::make_unique<Plain>(way, out, seed, setup::listeners(settings),
+    const setup::JsonObject ceilings(settings, "ceilings"), rules(settings, "rules");
+    return std::make_unique<Plain>(way, out, seed, setup::read_listeners(settings),
                                    static_cast<unsigned>(ceilings.real("maxDials", 1)),
                                    rules.time("askEvery"));
   };
--- a/src/lab/models/client_peer.cpp
+++ b/src/lab/models/client_peer.cpp
@@ -20,11 +20,11 @@
 
 void ClientPeer::wait(Micros in) {
   ++turn_;
-  wakes_.after(in, *this, token(Due::due));
+  timers_.schedule(in, *this, token(Due::due));
 }
 
 void ClientPeer::come() {
-  if (phase_ == Phase::idle && model_.wake(wakes_.now())) {
+  if (phase_ == Phase::idle && model_.wake(timers_.now())) {
     ++turn_;
     counted_ = false;
     ask();
@@ -43,12 +43,12 @@
   out_.clear();
   if (!stream_.connect(way->at, *this)) return wait(kNoWay);
   phase_ = Phase::connecting;
-  wakes_.after(model_.patience(), *this, token(Due::patience));
+  timers_.schedule(model_.patience(), *this, token(Due::patience));
 }
 
 void ClientPeer::connected(net::Stream&, net::ConnectResult result) {
   if (result != net::ConnectResult::established) {
-    log_.line(wakes_.now(), "unconnected node=n%u", node_.value);
+    log_.line(timers_.now(), "unconnected node=n%u", node_.value);
     shut();
     return wait(kNoWay);
   }
@@ -72,8 +72,8 @@
 void ClientPeer::sent() {
   if (asked_told_ || !out_.all_out()) return;
   asked_told_ = true;
-  asked_at_ = wakes_.now();
-  if (const auto leaves = model_.leaves_after()) wakes_.after(*leaves, *this, token(Due::leave));
+  asked_at_ = timers_.now();
+  if (const auto leaves = model_.leaves_after()) timers_.schedule(*leaves, *this, token(Due::leave));
   checker_.asked(id_, node_, machine_, model_.listener().rules, model_.patience(), asked_at_);
   log_.line(asked_at_, "asked session=%llx node=n%u client=%llx", hex(id_), node_.value,
             static_cast<unsigned long long>(model_.key()));
@@ -85,26 +85,26 @@
 void ClientPeer::writable(net::Stream&) {
   if (!out_.flush()) return;  // its reading side tells of the end
   if (phase_ == Phase::asking) sent();
-  if (phase_ == Phase::ending && out_.all_out()) stream_.end_sending();
+  if (phase_ == Phase::ending && out_.all_out()) stream_.shutdown_send();
 }
 
-void ClientPeer::came(net::Stream&) {
+void ClientPeer::input_ready(net::Stream&) {
   const std::uint64_t turn = turn_;
-  while (const auto line = stream_.in().line()) {
-    const std::string_view text = net::without_end(*line);
+  while (const auto line = stream_.input().line()) {
+    const std::string_view text = net::trim_line_end(*line);
     if (phase_ == Phase::asking)
       first(text, line->size());
     else
       heard(text);
     if (turn != turn_) return;
-    stream_.in().drop(line->size());
+    stream_.input().consume(line->size());
   }
-  if (stream_.at_end()) return over(false);
+  if (stream_.at_eof()) return over(false);
   stream_.want_read();
 }
 
 void ClientPeer::first(std::string_view line, std::size_t whole) {
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   if (line.starts_with("UP ")) {
     checker_.answered(id_, Checker::Answer::up, line.substr(3), now);
     log_.line(now, "up session=%llx receipt=%.*s", hex(id_), static_cast<int>(line.size() - 3),
@@ -115,11 +115,11 @@
     ++entry_.second().accepted;
     entry_.tally().to_up.add(now - asked_at_);
     ++turn_;  // it is patient from now on
-    wakes_.after(std::max(model_.session().until - now, 0us), *this, token(Due::had));
+    timers_.schedule(std::max(model_.session().until - now, 0us), *this, token(Due::had));
     speak();
-    // What came with the answer is looked at by the caller of came(), which sees the new turn.
-    stream_.in().drop(whole);
-    return came(stream_);
+    // What came with the answer is looked at by the caller of input_ready(), which sees the new turn.
+    stream_.input().consume(whole);
+    return input_ready(stream_);
   }
   const bool busy = line.starts_with("BUSY");
   long long stated = 0;
@@ -131,12 +131,12 @@
   // More after the answer would be one answer too many: it listens until the node has closed.
   phase_ = Phase::ending;
   const Micros again = model_.not_accepted(now, std::chrono::milliseconds(stated));
-  wakes_.after(again, *this, token(Due::due));
-  stream_.end_sending();
+  timers_.schedule(again, *this, token(Due::due));
+  stream_.shutdown_send();
 }
 
 void ClientPeer::heard(std::string_view line) {
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   const bool is_move = line == "MOVE";
   checker_.client_heard(id_, hash_of(line), is_move, now);
   ++entry_.tally().lines;
@@ -151,12 +151,12 @@
 
 void ClientPeer::speak() {
   if (phase_ != Phase::open) return;
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   const std::string line = line_of("say", id_, ++said_, model_.line_size());
-  checker_.client_said(id_, hash_of(net::without_end(line)), now);
+  checker_.client_said(id_, hash_of(net::trim_line_end(line)), now);
   unanswered_.push_back(now);
   out_.say(line);
-  wakes_.after(plan_.speaks_every, *this, token(Due::speak));
+  timers_.schedule(plan_.speaks_every, *this, token(Due::speak));
 }
 
 bool ClientPeer::well(Micros now) const {
@@ -176,7 +176,7 @@
 
 // The connection is over, by its own doing or another's.
 void ClientPeer::over(bool by_itself) {
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   const Phase was = phase_;
   if (was == Phase::idle) return;
   if (asked_told_) {
@@ -211,7 +211,7 @@
 
 bool ClientPeer::drop() {
   if (phase_ != Phase::open) return false;
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   log_.line(now, "drops session=%llx", hex(id_));
   checker_.client_ends(id_, false, now);
   stream_.abort();
@@ -220,9 +220,9 @@
   return true;
 }
 
-void ClientPeer::woken(std::uint64_t t) {
+void ClientPeer::timer_expired(std::uint64_t t) {
   if (t >> 3 != turn_) return;
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   switch (static_cast<Due>(t & 7)) {
     case Due::due:
       if (phase_ != Phase::idle) {  // still listening after its answer
@@ -240,7 +240,7 @@
       }
       if (phase_ != Phase::asking) return;
       if (now < asked_at_ + model_.patience() + kLate)
-        return wakes_.after(asked_at_ + model_.patience() + kLate - now, *this, token(Due::patience));
+        return timers_.schedule(asked_at_ + model_.patience() + kLate - now, *this, token(Due::patience));
       return over(true);
     case Due::leave:
       return phase_ == Phase::asking ? over(true) : void();
@@ -251,8 +251,8 @@
       log_.line(now, "had session=%llx", hex(id_));
       phase_ = Phase::ending;
       checker_.client_ends(id_, true, now);
-      if (out_.all_out()) stream_.end_sending();
-      return wakes_.after(kLinger, *this, token(Due::linger));
+      if (out_.all_out()) stream_.shutdown_send();
+      return timers_.schedule(kLinger, *this, token(Due::linger));
     case Due::linger:
       shut();
       return wait(model_.ended());
@@ -263,13 +263,13 @@
   ++turn_;
   waiting_ = false;
   kind_ = static_cast<Kind>(chance_() % kinds);
-  wakes_.after(Micros{static_cast<std::int64_t>(chance_() % 900000)}, *this, turn_);
+  timers_.schedule(Micros{static_cast<std::int64_t>(chance_() % 900000)}, *this, turn_);
 }
 
-void RudePeer::woken(std::uint64_t turn) {
+void RudePeer::timer_expired(std::uint64_t turn) {
   if (turn != turn_) return;
   if (waiting_) {  // long past the limit
-    if (node_sound_(node_)) checker_.rude_waited(wakes_.now() - began_, 20ms, "a bad client", wakes_.now());
+    if (node_sound_(node_)) checker_.rude_waited(timers_.now() - began_, 20ms, "a bad client", timers_.now());
     return done();
   }
   const auto way = entry_.way_in(zone_);
@@ -279,9 +279,9 @@
 
 void RudePeer::connected(net::Stream&, net::ConnectResult result) {
   if (result != net::ConnectResult::established) return done();
-  began_ = wakes_.now();
+  began_ = timers_.now();
   waiting_ = true;
-  wakes_.after(4s, *this, ++turn_);
+  timers_.schedule(4s, *this, ++turn_);
   log_.line(began_, "rude node=n%u kind=%u", node_.value, kind_);
   const std::string id = std::to_string(chance_() % 100000 + 1);
   switch (kind_) {
@@ -313,20 +313,20 @@
   stream_.want_read();
 }
 
-void RudePeer::came(net::Stream& s) {
+void RudePeer::input_ready(net::Stream& s) {
   // An error or the end is what it is owed; answers to PING are neither.
-  while (const auto line = s.in().line()) {
+  while (const auto line = s.input().line()) {
     const bool pong = line->starts_with("PONG");
-    s.in().drop(line->size());
+    s.input().consume(line->size());
     if (!pong) return done();
   }
-  if (s.at_end()) return done();
+  if (s.at_eof()) return done();
   s.want_read();
 }
 
 void RudePeer::done() {
   if (waiting_ && node_sound_(node_))
-    checker_.rude_waited(wakes_.now() - began_, 20ms, "a bad client", wakes_.now());
+    checker_.rude_waited(timers_.now() - began_, 20ms, "a bad client", timers_.now());
   out_.clear();
   stream_.close();
   next();
--- a/src/lab/models/client_peer.h
+++ b/src/lab/models/client_peer.h
@@ -8,7 +8,7 @@
 #include "lab/models/talk.h"
 #include "lab/reports/event_log.h"
 #include "lab/reports/meter.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 
 namespace flintweir::lab {
 
@@ -28,13 +28,13 @@
   ~EntryPoint() = default;
 };
 
-class ClientPeer final : net::StreamEvents, net::Woken {
+class ClientPeer final : net::StreamEvents, net::TimerEvents {
  public:
-  ClientPeer(net::Sockets& sockets, net::Wakes& wakes, MachineNo machine, ZoneNo zone, ClientModel model,
-             EntryPoint& entry, Checker& checker, EventLog& log, const TrafficPlan& plan)
+  ClientPeer(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone,
+             ClientModel model, EntryPoint& entry, Checker& checker, EventLog& log, const TrafficPlan& plan)
       : stream_(sockets),
         out_(stream_),
-        wakes_(wakes),
+        timers_(timers),
         machine_(machine),
         zone_(zone),
         model_(std::move(model)),
@@ -57,10 +57,10 @@
   enum class Due : std::uint64_t { due, patience, speak, had, linger, leave };
   std::uint64_t token(Due due) const { return turn_ << 3 | static_cast<std::uint64_t>(due); }
   void connected(net::Stream&, net::ConnectResult result) override;
-  void came(net::Stream&) override;
+  void input_ready(net::Stream&) override;
   void writable(net::Stream&) override;
   void broken(net::Stream&) override;
-  void woken(std::uint64_t token) override;
+  void timer_expired(std::uint64_t token) override;
   void wait(Micros in);  // for the next call of due()
   void ask();
   void sent();
@@ -72,7 +72,7 @@
 
   net::Stream stream_;
   Speaker out_;
-  net::Wakes& wakes_;
+  net::TimerQueue& timers_;
   MachineNo machine_;
   ZoneNo zone_;
   ClientModel model_;
@@ -91,13 +91,13 @@
 };
 
 // How clients break the protocol, one kind after the other.
-class RudePeer final : net::StreamEvents, net::Woken {
+class RudePeer final : net::StreamEvents, net::TimerEvents {
  public:
-  RudePeer(net::Sockets& sockets, net::Wakes& wakes, MachineNo machine, ZoneNo zone, EntryPoint& entry,
+  RudePeer(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone, EntryPoint& entry,
            std::function<bool(NodeNo)> node_sound, Checker& checker, EventLog& log, std::uint64_t seed)
       : stream_(sockets),
         out_(stream_),
-        wakes_(wakes),
+        timers_(timers),
         machine_(machine),
         zone_(zone),
         entry_(entry),
@@ -111,16 +111,16 @@
  private:
   enum Kind : unsigned { silent, rubbish, endless, twice, half, leaves, flood, unknown, kinds };
   void connected(net::Stream&, net::ConnectResult result) override;
-  void came(net::Stream&) override;
+  void input_ready(net::Stream&) override;
   void writable(net::Stream&) override { out_.flush(); }
   void broken(net::Stream&) override { done(); }
-  void woken(std::uint64_t token) override;
+  void timer_expired(std::uint64_t token) override;
   void next();
   void done();
 
   net::Stream stream_;
   Speaker out_;
-  net::Wakes& wakes_;
+  net::TimerQueue& timers_;
   MachineNo machine_;
   ZoneNo zone_;
   EntryPoint& entry_;
--- a/src/lab/models/front_peer.h
+++ b/src/lab/models/front_peer.h
@@ -4,14 +4,14 @@
 #include <functional>
 
 #include "net/stream.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 
 namespace flintweir::lab {
 
-class FrontPeer final : net::StreamEvents, net::Woken {
+class FrontPeer final : net::StreamEvents, net::TimerEvents {
  public:
-  FrontPeer(net::Sockets& sockets, net::Wakes& wakes, Micros every, std::function<void(bool)> told)
-      : stream_(sockets), wakes_(wakes), every_(every), told_(std::move(told)) {}
+  FrontPeer(net::Sockets& sockets, net::TimerQueue& timers, Micros every, std::function<void(bool)> told)
+      : stream_(sockets), timers_(timers), every_(every), told_(std::move(told)) {}
 
   void begin(const Address& at) {
     at_ = at;
@@ -21,16 +21,16 @@
 
  private:
   void check() {
-    wakes_.after(every_, *this, ++turn_);
+    timers_.schedule(every_, *this, ++turn_);
     if (!stream_.connect(at_, *this)) told_(false);
   }
   void connected(net::Stream& s, net::ConnectResult result) override {
     if (result != net::ConnectResult::established || !s.write("PING\r\n")) return over(false);
     s.want_read();
   }
-  void came(net::Stream& s) override {
-    if (const auto line = s.in().line()) return over(line->starts_with("PONG"));
-    if (s.at_end()) return over(false);
+  void input_ready(net::Stream& s) override {
+    if (const auto line = s.input().line()) return over(line->starts_with("PONG"));
+    if (s.at_eof()) return over(false);
     s.want_read();
   }
   void broken(net::Stream&) override { over(false); }
@@ -38,14 +38,14 @@
     stream_.close();
     told_(answered);
   }
-  void woken(std::uint64_t turn) override {
+  void timer_expired(std::uint64_t turn) override {
     if (turn != turn_) return;
     if (stream_.open()) over(false);  // no answer by the next check
     check();
   }
 
   net::Stream stream_;
-  net::Wakes& wakes_;
+  net::TimerQueue& timers_;
   Micros every_;
   std::function<void(bool)> told_;
   Address at_;
--- a/src/lab/models/host_server.cpp
+++ b/src/lab/models/host_server.cpp
@@ -14,7 +14,7 @@
                        const Register& known, Checker& checker, EventLog& log, const HostPlan& plan,
                        const TrafficPlan& traffic, Micros tip_after, std::uint64_t seed)
     : sockets_(network, 1u << 20),
-      wakes_(network),
+      timers_(network),
       model_(model),
       no_(no),
       name_(std::move(name)),
@@ -31,8 +31,8 @@
   sockets_.network().wait_accept(*this);
 }
 
-void HostServer::connection_waits() {
-  for (net::Accepted next = sockets_.network().accept(); next.how == net::Io::done;
+void HostServer::connection_pending() {
+  for (net::AcceptResult next = sockets_.network().accept(); next.status == net::IoStatus::done;
        next = sockets_.network().accept()) {
     const SlabKey key = calls_.acquire(*this);
     Call& c = *calls_.find(key);
@@ -55,29 +55,29 @@
   const bool hangs = model_.hanging();
   if (hangs && c.phase != Call::Phase::first) return;
   const SlabKey key = c.key;
-  while (const auto line = c.stream.in().line()) {
-    const std::string_view text = net::without_end(*line);
+  while (const auto line = c.stream.input().line()) {
+    const std::string_view text = net::trim_line_end(*line);
     if (c.phase == Call::Phase::first) {
       if (hangs && !text.starts_with("OPEN ")) return;
       first_line(c, text);
     } else if (c.phase == Call::Phase::open) {
-      checker_.host_heard(c.call, hash_of(text), wakes_.now());
+      checker_.host_heard(c.call, hash_of(text), timers_.now());
       if (model_.serving()) {
-        c.last_reply = std::max(c.last_reply, wakes_.now() + model_.line_takes(wakes_.now()));
+        c.last_reply = std::max(c.last_reply, timers_.now() + model_.line_takes(timers_.now()));
         c.replies.push_back(static_cast<unsigned>(text.size()) + 2);
-        wakes_.after(c.last_reply - wakes_.now(), *this, token(key, Due::reply));
+        timers_.schedule(c.last_reply - timers_.now(), *this, token(key, Due::reply));
       }
     } else if (c.phase == Call::Phase::answering) {
       break;  // nothing may come before the answer; what does is read behind it
     }
     if (!calls_.has(key)) return;
-    c.stream.in().drop(line->size());
+    c.stream.input().consume(line->size());
   }
-  if (hangs && (c.phase != Call::Phase::first || c.stream.at_end())) return;
-  if (c.stream.at_end()) {
+  if (hangs && (c.phase != Call::Phase::first || c.stream.at_eof())) return;
+  if (c.stream.at_eof()) {
     // Whoever ends its sending on a session has given it up, or has said its last.
     if (c.phase == Call::Phase::open) {
-      checker_.host_sees_end(c.call, true, wakes_.now());
+      checker_.host_sees_end(c.call, true, timers_.now());
       return leave(c, Checker::Ends::bye, "BYE\r\n");
     }
     return over(c, true);
@@ -86,7 +86,7 @@
 }
 
 void HostServer::first_line(Call& c, std::string_view line) {
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   if (line == "PING") return void(c.out.say("PONG\r\n"));
   if (line == "STATS") {
     const HostModel::Report& r = model_.report(now);
@@ -119,19 +119,19 @@
   c.phase = Call::Phase::answering;
   log_.line(now, "dialled session=%llx host=%s", static_cast<unsigned long long>(id), name_.c_str());
   if (verdict.answer != HostModel::Answer::nothing)
-    wakes_.after(verdict.after, *this, token(c.key, Due::answer));
+    timers_.schedule(verdict.after, *this, token(c.key, Due::answer));
 }
 
 void HostServer::answer(Call& c) {
   if (c.phase != Call::Phase::answering || model_.hanging()) return;
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   if (c.answer == HostModel::Answer::up && model_.draining()) c.answer = HostModel::Answer::busy;
   switch (c.answer) {
     case HostModel::Answer::up: {
       char up[48];
       std::snprintf(up, sizeof up, "UP r%u-%llu\r\n", no_.value,
                     static_cast<unsigned long long>(++receipts_));
-      checker_.host_answers(c.call, Checker::Answer::up, net::without_end(std::string_view(up).substr(3)),
+      checker_.host_answers(c.call, Checker::Answer::up, net::trim_line_end(std::string_view(up).substr(3)),
                             now);
       model_.opened(now, c.load, c.group);
       c.phase = Call::Phase::open;
@@ -159,7 +159,7 @@
 }
 
 void HostServer::say(Call& c, const std::string& line) {
-  checker_.host_said(c.call, hash_of(net::without_end(line)), wakes_.now());
+  checker_.host_said(c.call, hash_of(net::trim_line_end(line)), timers_.now());
   c.out.say(line);
 }
 
@@ -168,7 +168,7 @@
   if (c.phase != Call::Phase::open || c.replies.empty() || !model_.serving()) return;
   const unsigned size = c.replies.front();
   c.replies.pop_front();
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   const double usual = c.told_load;
   const double step = traffic_.drift * std::sqrt(seconds(now - c.loaded_at)) *
                       (2 * std::generate_canonical<double, 32>(chance_) - 1);
@@ -187,39 +187,39 @@
 
 void HostServer::written(Call& c) {
   if (!c.out.flush()) return over(c, false);
-  if (c.phase == Call::Phase::leaving && c.out.all_out()) c.stream.end_sending();
+  if (c.phase == Call::Phase::leaving && c.out.all_out()) c.stream.shutdown_send();
 }
 
 // The last word, then the end; what still comes is read until the other side ends as well.
 void HostServer::leave(Call& c, Checker::Ends how, std::string_view last) {
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   if (c.phase == Call::Phase::open) {
-    checker_.host_said(c.call, hash_of(net::without_end(last)), now);
+    checker_.host_said(c.call, hash_of(net::trim_line_end(last)), now);
     model_.closed(now, c.load, c.group);
   }
   checker_.host_ends(c.call, how, now);
   c.phase = Call::Phase::leaving;
-  if (!c.out.say(last) || c.stream.at_end()) {
+  if (!c.out.say(last) || c.stream.at_eof()) {
     c.stream.close();
     return free(c);
   }
-  if (c.out.all_out()) c.stream.end_sending();
-  wakes_.after(1s, *this, token(c.key, Due::give_up));
-  c.stream.in().clear();
+  if (c.out.all_out()) c.stream.shutdown_send();
+  timers_.schedule(1s, *this, token(c.key, Due::give_up));
+  c.stream.input().clear();
   c.stream.want_read();
 }
 
 void HostServer::over(Call& c, bool cleanly) {
   if (model_.hanging()) return;  // it notices nothing
-  if (c.phase == Call::Phase::open) model_.closed(wakes_.now(), c.load, c.group);
-  if (c.call.value) checker_.host_sees_end(c.call, cleanly, wakes_.now());
+  if (c.phase == Call::Phase::open) model_.closed(timers_.now(), c.load, c.group);
+  if (c.call.value) checker_.host_sees_end(c.call, cleanly, timers_.now());
   c.stream.close();
   free(c);
 }
 
 void HostServer::free(Call& c) { calls_.release(c.key); }
 
-void HostServer::woken(std::uint64_t t) {
+void HostServer::timer_expired(std::uint64_t t) {
   const Due due = static_cast<Due>(t >> 28 & 15);
   Call* const c = calls_.find(SlabKey::unpacked(t & ~(std::uint64_t{15} << 28)));
   if (!c) return;
@@ -233,8 +233,8 @@
 }
 
 void HostServer::send_away(Call& c) {
-  log_.line(wakes_.now(), "sends-away session=%llx host=%s", static_cast<unsigned long long>(c.session.value),
-            name_.c_str());
+  log_.line(timers_.now(), "sends-away session=%llx host=%s",
+            static_cast<unsigned long long>(c.session.value), name_.c_str());
   leave(c, Checker::Ends::move, "MOVE\r\n");
 }
 
@@ -247,8 +247,8 @@
   });
   const Micros over = plan_.sends_away == SendsAway::at_once ? 0us : plan_.leaves_after / 2;
   for (std::size_t i = 0; i < open.size(); ++i)
-    wakes_.after(over * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(open.size()), *this,
-                 token(open[i], Due::away));
+    timers_.schedule(over * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(open.size()), *this,
+                     token(open[i], Due::away));
 }
 
 void HostServer::resume() {
--- a/src/lab/models/host_server.h
+++ b/src/lab/models/host_server.h
@@ -7,7 +7,7 @@
 #include "lab/models/host_model.h"
 #include "lab/models/talk.h"
 #include "lab/reports/event_log.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 #include "slab.h"
 
 namespace flintweir::lab {
@@ -25,7 +25,7 @@
   ~Register() = default;
 };
 
-class HostServer final : net::AcceptEvents, net::Woken {
+class HostServer final : net::AcceptEvents, net::TimerEvents {
  public:
   HostServer(net::Network& network, HostModel& model, HostNo no, std::string name, const Register& known,
              Checker& checker, EventLog& log, const HostPlan& plan, const TrafficPlan& traffic,
@@ -39,7 +39,7 @@
  private:
   struct Call final : net::StreamEvents {
     explicit Call(HostServer& h) : host(h), stream(h.sockets_), out(stream) {}
-    void came(net::Stream&) override { host.came(*this); }
+    void input_ready(net::Stream&) override { host.came(*this); }
     void writable(net::Stream&) override { host.written(*this); }
     void broken(net::Stream&) override { host.over(*this, false); }
     HostServer& host;
@@ -57,8 +57,8 @@
     unsigned said = 0;
   };
   enum class Due : std::uint64_t { answer, reply, leave, away, give_up };
-  void connection_waits() override;
-  void woken(std::uint64_t token) override;
+  void connection_pending() override;
+  void timer_expired(std::uint64_t token) override;
   static std::uint64_t token(SlabKey key, Due due) {
     return key.packed() | static_cast<std::uint64_t>(due) << 28;
   }
@@ -74,7 +74,7 @@
   void free(Call& c);
 
   net::Sockets sockets_;
-  net::Wakes wakes_;
+  net::TimerQueue timers_;
   HostModel& model_;
   HostNo no_;
   std::string name_;
--- a/src/lab/models/list_server.cpp
+++ b/src/lab/models/list_server.cpp
@@ -40,8 +40,8 @@
   sockets_.network().wait_accept(*this);
 }
 
-void ListServer::connection_waits() {
-  for (net::Accepted next = sockets_.network().accept(); next.how == net::Io::done;
+void ListServer::connection_pending() {
+  for (net::AcceptResult next = sockets_.network().accept(); next.status == net::IoStatus::done;
        next = sockets_.network().accept()) {
     const SlabKey key = calls_.acquire(*this);
     Call& c = *calls_.find(key);
@@ -61,40 +61,40 @@
 }
 
 void ListServer::came(Call& c) {
-  const std::string_view held = c.stream.in().held();
+  const std::string_view held = c.stream.input().buffered();
   const std::size_t end = held.find("\r\n\r\n");
   if (!c.asked && end != held.npos) {
     const std::string head(held.substr(0, end));
-    c.stream.in().drop(end + 4);
+    c.stream.input().consume(end + 4);
     c.asked = true;
     c.watch = head.find("since=") != head.npos;
     c.since = number_after(head, "since=", 0);
-    c.until = wakes_.now() + std::chrono::milliseconds(number_after(head, "timeout_ms=", 0));
+    c.until = timers_.now() + std::chrono::milliseconds(number_after(head, "timeout_ms=", 0));
     c.slowed = mood_.slow == 0us && !mood_.turns_away;
     if (mood_.turns_away)
-      wakes_.after(*mood_.turns_away, *this, c.key.packed());
+      timers_.schedule(*mood_.turns_away, *this, c.key.packed());
     else if (c.slowed)
       look(c);
     else
-      wakes_.after(mood_.slow, *this, c.key.packed());
+      timers_.schedule(mood_.slow, *this, c.key.packed());
     // Whoever has stopped waiting is told nothing.
     return c.stream.want_read();
   }
-  if (c.stream.at_end()) return free(c);
+  if (c.stream.at_eof()) return free(c);
   c.stream.want_read();
 }
 
 void ListServer::look(Call& c) {
   if (!c.asked || !c.slowed) return;
   if (mood_.turns_away) return turn_away(c);
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   if (!c.watch || list_.version(now) != c.since || now >= c.until) return answer(c);
   const Micros change = list_.next_after(now);
-  wakes_.after(std::min(c.until, change) - now, *this, c.key.packed());
+  timers_.schedule(std::min(c.until, change) - now, *this, c.key.packed());
 }
 
 void ListServer::answer(Call& c) {
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   // A version that this service never gave is answered with all there is.
   const std::uint64_t since = c.watch && c.since <= list_.version(now) ? c.since : 0;
   std::string body = list_text(list_, since, now);
@@ -111,7 +111,7 @@
       else
         c.written.push_back(e);
     }
-    wakes_.after(kArrives, *this, told_token(c.key));
+    timers_.schedule(kArrives, *this, told_token(c.key));
   }
   if (!said) return free(c);
   came(c);
@@ -123,7 +123,7 @@
   came(c);
 }
 
-void ListServer::woken(std::uint64_t token) {
+void ListServer::timer_expired(std::uint64_t token) {
   if (token >> 28 & 1) {
     if (Call* c = calls_.find(SlabKey::unpacked(token & ~(std::uint64_t{1} << 28))))
       for (const ListModel::Entry& e : std::exchange(c->written, {})) told_(e, c->written_at);
--- a/src/lab/models/list_server.h
+++ b/src/lab/models/list_server.h
@@ -10,7 +10,7 @@
 #include "lab/checks/checker.h"
 #include "lab/models/list_model.h"
 #include "lab/models/talk.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 #include "slab.h"
 
 namespace flintweir::lab {
@@ -25,13 +25,13 @@
 // The list, or its changes since a version, in discovery's form.
 std::string list_text(const ListModel& list, std::uint64_t since, Micros now);
 
-class ListServer final : net::AcceptEvents, net::Woken {
+class ListServer final : net::AcceptEvents, net::TimerEvents {
  public:
   // Has been written out to the node at that time. Of a host that goes it is told a while later, where the
   // connection is still good.
   using Told = std::function<void(const ListModel::Entry&, Micros written)>;
   ListServer(net::Network& network, const ListModel& list, const ListMood& mood, Told told)
-      : sockets_(network, 4096), wakes_(network), list_(list), mood_(mood), told_(std::move(told)) {}
+      : sockets_(network, 4096), timers_(network), list_(list), mood_(mood), told_(std::move(told)) {}
 
   void serve(const Address& at);  // throws std::system_error
   void changed();                 // the list, or how it behaves
@@ -40,7 +40,7 @@
  private:
   struct Call final : net::StreamEvents {
     explicit Call(ListServer& s) : server(s), stream(s.sockets_), out(stream) {}
-    void came(net::Stream&) override { server.came(*this); }
+    void input_ready(net::Stream&) override { server.came(*this); }
     void writable(net::Stream&) override {
       if (!out.flush()) server.free(*this);
     }
@@ -55,8 +55,8 @@
     std::vector<ListModel::Entry> written;  // and not known to have arrived
     Micros written_at{0};
   };
-  void connection_waits() override;
-  void woken(std::uint64_t token) override;
+  void connection_pending() override;
+  void timer_expired(std::uint64_t token) override;
   void came(Call& c);
   void look(Call& c);
   void answer(Call& c);
@@ -65,7 +65,7 @@
   void free(Call& c);
 
   net::Sockets sockets_;
-  net::Wakes wakes_;
+  net::TimerQueue timers_;
   const ListModel& list_;
   const ListMood& mood_;
   Told told_;
--- a/src/lab/network/fabric.cpp
+++ b/src/lab/network/fabric.cpp
@@ -250,17 +250,17 @@
   if (frozen_ || letters_.empty() || !datagram_events_) return;
   post([this] {
     fabric_.acting_ = machine_;
-    if (net::DatagramEvents* const whom = std::exchange(datagram_events_, nullptr)) whom->datagram_waits();
+    if (net::DatagramEvents* const whom = std::exchange(datagram_events_, nullptr)) whom->datagram_pending();
   });
 }
 
-net::Received Process::receive(char* to, std::size_t size) {
-  if (letters_.empty()) return {0, {}, net::Io::later};
+net::ReceiveResult Process::receive(char* to, std::size_t size) {
+  if (letters_.empty()) return {0, {}, net::IoStatus::would_block};
   const auto [from, bytes] = std::move(letters_.front());
   letters_.pop_front();
   const std::size_t n = std::min(size, bytes.size());
   std::copy_n(bytes.data(), n, to);
-  return {n, from, net::Io::done};
+  return {n, from, net::IoStatus::done};
 }
 
 void Process::send_datagram(const Address& to, std::string_view bytes) {
@@ -283,7 +283,7 @@
   if (port_) fabric_.machines_[machine_.value].listening.erase(port_);
   if (box_) fabric_.machines_[machine_.value].boxes.erase(box_);
   std::vector<net::SocketKey> open;
-  sockets_.each([&](net::SocketKey key, Entry&) { open.push_back(key); });
+  sockets_.for_each([&](net::SocketKey key, Entry&) { open.push_back(key); });
   for (const net::SocketKey key : open) close(key, true);
   for (const Fabric::WireAt& wire : waiting_) {
     wire->side[1].process = nullptr;
@@ -302,13 +302,13 @@
   });
 }
 
-void Process::ring(Micros at, net::Alarm& whom) {
+void Process::set_alarm(Micros at, net::AlarmEvents& whom) {
   fabric_.timeline_.at(at + clock_back_, [this, alive = alive_, no = ++rings_, &whom] {
     if (!*alive) return;
     const auto rang = [this, alive, no, &whom] {
       if (!*alive || stopped_ || no != rings_) return;
       fabric_.acting_ = machine_;
-      whom.rang();
+      whom.alarm_expired();
     };
     frozen_ ? held_.push_back(rang) : rang();
   });
@@ -338,21 +338,21 @@
   post([this] {
     accepting_ = false;
     if (!waiting_.empty())
-      if (net::AcceptEvents* whom = std::exchange(accept_events_, nullptr)) whom->connection_waits();
+      if (net::AcceptEvents* whom = std::exchange(accept_events_, nullptr)) whom->connection_pending();
   });
 }
 
-net::Accepted Process::accept() {
-  if (dead_) return {{}, net::Io::broken, "dead"};
-  if (waiting_.empty()) return {{}, net::Io::later};
-  if (open_ >= limit_) return {{}, net::Io::broken, "no descriptors"};
+net::AcceptResult Process::accept() {
+  if (dead_) return {{}, net::IoStatus::failed, "dead"};
+  if (waiting_.empty()) return {{}, net::IoStatus::would_block};
+  if (open_ >= limit_) return {{}, net::IoStatus::failed, "no descriptors"};
   const Fabric::WireAt wire = std::move(waiting_.front());
   waiting_.pop_front();
   return {open(wire, 1, nullptr)};
 }
 
 net::SocketKey Process::open(const Fabric::WireAt& wire, int side, net::SocketEvents* whom) {
-  const net::SocketKey key = sockets_.lend();
+  const net::SocketKey key = sockets_.acquire();
   *sockets_.find(key) = {wire, side, whom};
   Fabric::Side& s = wire->side[side];
   s.process = this;
@@ -377,7 +377,7 @@
   return key;
 }
 
-void Process::tell(net::SocketKey socket, net::SocketEvents& whom) {
+void Process::set_events(net::SocketKey socket, net::SocketEvents& whom) {
   if (Entry* e = sockets_.find(socket)) e->whom = &whom;
 }
 
@@ -395,30 +395,30 @@
   fabric_.notify(e->wire, e->side);
 }
 
-net::Passed Process::read(net::SocketKey socket, char* to, std::size_t size) {
+net::IoResult Process::read(net::SocketKey socket, char* to, std::size_t size) {
   Entry* const e = sockets_.find(socket);
-  if (!e) return {0, net::Io::broken};
+  if (!e) return {0, net::IoStatus::failed};
   Fabric::Side& side = e->wire->side[e->side];
   if (const std::size_t held = side.in.size() - side.read_from; held > 0) {
     const std::size_t n = std::min(size, held);
     side.in.copy(to, n, side.read_from);
     side.read_from += n;
     fabric_.send(e->wire, e->side, Fabric::Segment::Kind::ack, {}, n);
-    return {n, net::Io::done};
+    return {n, net::IoStatus::done};
   }
-  if (side.rst_in) return {0, net::Io::broken};
-  return {0, side.fin_in ? net::Io::ended : net::Io::later};
+  if (side.rst_in) return {0, net::IoStatus::failed};
+  return {0, side.fin_in ? net::IoStatus::closed : net::IoStatus::would_block};
 }
 
-net::Passed Process::write(net::SocketKey socket, std::span<const std::string_view> parts) {
+net::IoResult Process::write(net::SocketKey socket, std::span<const std::string_view> parts) {
   Entry* const e = sockets_.find(socket);
-  if (!e) return {0, net::Io::broken};
+  if (!e) return {0, net::IoStatus::failed};
   Fabric::Side& side = e->wire->side[e->side];
-  if (side.rst_in || side.fin_out || side.rst_out) return {0, net::Io::broken};
+  if (side.rst_in || side.fin_out || side.rst_out) return {0, net::IoStatus::failed};
   const std::size_t window = fabric_.carriage_.window;
   std::size_t room = window - std::min(window, side.unacked), all = 0;
   for (const std::string_view part : parts) all += part.size();
-  if (room == 0 && all > 0) return {0, net::Io::later};
+  if (room == 0 && all > 0) return {0, net::IoStatus::would_block};
   if (all > 1 && fabric_.carriage_.partial > 0 &&
       std::generate_canonical<double, 32>(fabric_.chance_) < fabric_.carriage_.partial) {
     room = std::min<std::size_t>(room, 1 + fabric_.chance_() % (all - 1));
@@ -428,10 +428,10 @@
   const std::size_t n = bytes.size();
   side.unacked += n;
   if (n > 0) fabric_.send(e->wire, e->side, Fabric::Segment::Kind::data, std::move(bytes));
-  return {n, net::Io::done};
+  return {n, net::IoStatus::done};
 }
 
-void Process::end_sending(net::SocketKey socket) {
+void Process::shutdown_send(net::SocketKey socket) {
   Entry* const e = sockets_.find(socket);
   if (!e || std::exchange(e->wire->side[e->side].fin_out, true)) return;
   fabric_.send(e->wire, e->side, Fabric::Segment::Kind::fin);
@@ -443,7 +443,7 @@
   const Fabric::WireAt wire = std::move(e->wire);
   Fabric::Side& side = wire->side[e->side];
   const int no = e->side;
-  sockets_.drop(socket);
+  sockets_.release(socket);
   --open_;
   side.process = nullptr;
   if (!side.established) return;
--- a/src/lab/network/fabric.h
+++ b/src/lab/network/fabric.h
@@ -138,25 +138,25 @@
 
   Micros now() const override { return fabric_.timeline_.now() - clock_back_; }
   // By a clock that may be fast or slow, and goes on while the process is frozen.
-  Micros ticking() const override {
+  Micros now_including_suspend() const override {
     return Micros{static_cast<std::int64_t>(
         static_cast<double>(fabric_.timeline_.now().count() % 1'000'000'000'000) * rate_)};
   }
-  void ring(Micros at, net::Alarm& whom) override;
+  void set_alarm(Micros at, net::AlarmEvents& whom) override;
   Address listen(const Address& at) override;
   void wait_accept(net::AcceptEvents& whom) override;
-  net::Accepted accept() override;
+  net::AcceptResult accept() override;
   net::SocketKey connect(const Address& to, net::SocketEvents& whom) override;
-  void tell(net::SocketKey socket, net::SocketEvents& whom) override;
+  void set_events(net::SocketKey socket, net::SocketEvents& whom) override;
   void wait_read(net::SocketKey socket) override;
   void wait_write(net::SocketKey socket) override;
-  net::Passed read(net::SocketKey socket, char* to, std::size_t size) override;
-  net::Passed write(net::SocketKey socket, std::span<const std::string_view> parts) override;
-  void end_sending(net::SocketKey socket) override;
+  net::IoResult read(net::SocketKey socket, char* to, std::size_t size) override;
+  net::IoResult write(net::SocketKey socket, std::span<const std::string_view> parts) override;
+  void shutdown_send(net::SocketKey socket) override;
   void close(net::SocketKey socket, bool reset) override;
   Address open_datagrams(const Address& at) override;
   void wait_datagram(net::DatagramEvents& whom) override;
-  net::Received receive(char* to, std::size_t size) override;
+  net::ReceiveResult receive(char* to, std::size_t size) override;
   void send_datagram(const Address& to, std::string_view bytes) override;
   void stop() override { stopped_ = true; }
 
@@ -187,7 +187,7 @@
   std::deque<std::pair<Address, std::string>> letters_;
   net::AcceptEvents* accept_events_ = nullptr;
   std::deque<Fabric::WireAt> waiting_;
-  net::Places<Entry> sockets_;
+  net::SlotPool<Entry> sockets_;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/network/loopback_stage.cpp
+++ b/src/lab/network/loopback_stage.cpp
@@ -63,7 +63,7 @@
 // It stays, so that what the event loop still holds for it finds it.
 void LoopbackStage::end(net::Network& process) {
   for (const auto& n : networks_)
-    if (n.get() == &process) n->retire();
+    if (n.get() == &process) n->shut_down();
 }
 
 std::string LoopbackStage::file(NodeNo node) const {
--- a/src/lab/network/virtual_stage.cpp
+++ b/src/lab/network/virtual_stage.cpp
@@ -20,7 +20,7 @@
       descriptors_(descriptors),
       make_(std::move(make)),
       logged_(logged) {
-  net::log_to(this);
+  net::set_log_sink(this);
 }
 
 VirtualStage::~VirtualStage() {
@@ -28,10 +28,10 @@
     n.process->kill();
     n.node.reset();
   }
-  net::log_to(nullptr);
+  net::set_log_sink(nullptr);
 }
 
-void VirtualStage::line(const char* text) {
+void VirtualStage::write_line(const char* text) {
   if (logged_) *logged_ += std::to_string((now() - kStart).count()) + ' ' + text + '\n';
 }
 
--- a/src/lab/network/virtual_stage.h
+++ b/src/lab/network/virtual_stage.h
@@ -48,7 +48,7 @@
     std::unique_ptr<Process> process;
     std::unique_ptr<node::Node> node;
   };
-  void line(const char* text) override;
+  void write_line(const char* text) override;
 
   Carriage carriage_;
   Timeline timeline_;
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -121,7 +121,7 @@
     crowd.machine = stage_.add_machine({z % zones});
     net::Network& network = stage_.begin(crowd.machine);
     crowd.sockets = std::make_unique<net::Sockets>(network, std::size_t{1} << 20);
-    crowd.wakes = std::make_unique<net::Wakes>(network);
+    crowd.timers = std::make_unique<net::TimerQueue>(network);
     (z < zones ? crowds_.emplace_back() : fronts_) = std::move(crowd);
   }
   const std::vector<ZoneNo> of_nodes = zones_of_nodes(fleet);
@@ -138,7 +138,7 @@
     // Checked from the zone that it serves.
     Crowd& crowd = crowds_[n.zone.value];
     n.front = std::make_unique<FrontPeer>(
-        *crowd.sockets, *crowd.wakes, experiment_.front.check_every, [this, no = n.no](bool answered) {
+        *crowd.sockets, *crowd.timers, experiment_.front.check_every, [this, no = n.no](bool answered) {
           if (answered && !nodes_[no.value].leaving) return front_.check_answered(no);
           if (!answered) front_.check_failed(no, now(), between(experiment_.front.notices));
         });
@@ -150,7 +150,7 @@
     const ZoneNo zone{i % zones};
     const std::uint64_t group = traffic.groups ? 1 + part_seed(seed_, 3, i) % traffic.groups : 0;
     clients_.push_back(std::make_unique<ClientPeer>(
-        *crowds_[zone.value].sockets, *crowds_[zone.value].wakes, crowds_[zone.value].machine, zone,
+        *crowds_[zone.value].sockets, *crowds_[zone.value].timers, crowds_[zone.value].machine, zone,
         ClientModel(traffic, part_seed(seed_, 4, i) | 1, group, part_seed(seed_, 5, i)), entry, checker_,
         log_, traffic));
   }
@@ -158,7 +158,7 @@
     const ZoneNo zone{i % zones};
     const MachineNo machine = crowds_[zone.value].machine;
     rude_.push_back(std::make_unique<RudePeer>(
-        *crowds_[zone.value].sockets, *crowds_[zone.value].wakes, machine, zone, entry,
+        *crowds_[zone.value].sockets, *crowds_[zone.value].timers, machine, zone, entry,
         [this, machine](NodeNo no) {
           const NodeUnit& n = nodes_[no.value];
           return n.up && stage_.sound(machine, n.machine, now() - 5s);
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -66,7 +66,7 @@
   struct Crowd {  // the clients of a zone, on a machine of their own
     MachineNo machine;
     std::unique_ptr<net::Sockets> sockets;
-    std::unique_ptr<net::Wakes> wakes;
+    std::unique_ptr<net::TimerQueue> timers;
   };
 
   std::optional<Way> way_in(ZoneNo zone) override;
--- a/src/lease_command.cpp
+++ b/src/lease_command.cpp
@@ -34,21 +34,21 @@
   return out;
 }
 
-class Hold final : node::Holder::Told, net::Woken {
+class Hold final : node::Holder::Told, net::TimerEvents {
  public:
   Hold(const setup::OperatorFile& own, const std::string& lease, const Address& from,
        std::optional<Address> told, const std::vector<std::string>& command)
       : length_(own.leases->length),
         command_(command),
         lease_(lease),
-        holder_(network_, wakes_, own, lease,
+        holder_(network_, timers_, own, lease,
                 "hold-" + std::to_string(getpid()) + '/' + std::to_string(network_.now().count()), from, told,
                 random_seed(), *this) {}
 
   int run() {
     holder_.begin();
-    network_.hear_signals({SIGTERM, SIGINT, SIGCHLD},
-                          [this](int number) { number == SIGCHLD ? reap() : end_by(number); });
+    network_.handle_signals({SIGTERM, SIGINT, SIGCHLD},
+                            [this](int number) { number == SIGCHLD ? reap() : end_by(number); });
     network_.run();
     return status_;
   }
@@ -60,7 +60,7 @@
     net::log_line("lease: held name=%s token=%llu", lease_.c_str(),
                   static_cast<unsigned long long>(token.value));
     start(token);
-    wakes_.after(length_ / kLooks, *this, 0);
+    timers_.schedule(length_ / kLooks, *this, 0);
   }
   void lost(Token token, std::string_view why) override {
     net::log_line("lease: lost name=%s token=%llu why=\"%.*s\"", lease_.c_str(),
@@ -98,7 +98,7 @@
   }
 
   // Looks how much is left: the command has ended before another may begin.
-  void woken(std::uint64_t what) override {
+  void timer_expired(std::uint64_t what) override {
     if (child_ == 0) return;
     if (what == kEndsNow) return void(kill(-child_, SIGKILL));
     const Micros left = holder_.left();
@@ -109,7 +109,7 @@
       kill(-child_, SIGTERM);
     }
     if (child_ != 0 && left < length_ / kKill) kill(-child_, SIGKILL);
-    wakes_.after(length_ / kLooks, *this, 0);
+    timers_.schedule(length_ / kLooks, *this, 0);
   }
 
   void reap() {
@@ -126,7 +126,7 @@
     if (child_ == 0) return finish(128 + number);
     kill(-child_, number);
     // Whoever does not end within that is ended.
-    wakes_.after(length_ / 2, *this, kEndsNow);
+    timers_.schedule(length_ / 2, *this, kEndsNow);
   }
 
   void finish(int status) {
@@ -137,7 +137,7 @@
 
   static constexpr std::uint64_t kEndsNow = 1;
   net::KernelNetwork network_;
-  net::Wakes wakes_{network_};
+  net::TimerQueue timers_{network_};
   Micros length_;
   std::vector<std::string> command_;
   std::string lease_;
@@ -187,7 +187,7 @@
     writer.add(leases::Request{leases::RequestKind::query, after, {}, {}, 0us});
     network_.send_datagram(*at, writer.finish());
   }
-  void datagram_waits() override {
+  void datagram_pending() override {
     node::hear_post(network_, *this, *this, places_);
     network_.stop();
   }
--- a/src/line/client_conn.cpp
+++ b/src/line/client_conn.cpp
@@ -9,16 +9,16 @@
   unsaid_begin_ = unsaid_end_ = 0;
   head_ = {};
   idle_.enter(*this);
-  wakes_.after(first_line_within_, *this, ++token_);
+  timers_.schedule(first_line_within_, *this, ++token_);
   stream_.read();  // under a flood of others its line has long come
 }
 
-void ClientConn::came(Stream&) {
+void ClientConn::input_ready(Stream&) {
   if (phase_ == Phase::head) look_for_head();
   if (phase_ == Phase::lingering) {
-    drained_ += stream_.in().held().size();
-    stream_.in().clear();
-    if (stream_.at_end() || drained_ > kMostDrained) return close();
+    drained_ += stream_.input().buffered().size();
+    stream_.input().clear();
+    if (stream_.at_eof() || drained_ > kMostDrained) return close();
   }
   // A client that ends its sending before it is accepted has nothing to say on the connection it asked for.
   // One that goes on talking until there is no place for more waits for no answer: its end could not be seen
@@ -30,36 +30,36 @@
 void ClientConn::look_for_head() {
   // The answer to one line is out before the next is looked at: nothing may come between it and what follows.
   while (all_out()) {
-    const auto line = stream_.in().line();
+    const auto line = stream_.input().line();
     if (!line) break;
-    if (line->size() > kLongestLine || !line->ends_with("\r\n")) return fail();
+    if (line->size() > kMaxLineBytes || !line->ends_with("\r\n")) return fail();
     if (*line != "PING\r\n") {
       // A client waits for its answer. Guards against commands by the hundred, of which a host can't use two.
-      const std::string_view next = stream_.in().held().substr(line->size());
+      const std::string_view next = stream_.input().buffered().substr(line->size());
       if (next.starts_with("OPEN ") || next.starts_with("PING")) return fail();
       phase_ = Phase::waiting;
       ++token_;
       idle_.leave(*this);
       // Dials send the line from where it lies: it must not move when more comes in behind it.
-      stream_.in().to_front();
-      head_ = stream_.in().held().substr(0, line->size());
+      stream_.input().compact();
+      head_ = stream_.input().buffered().substr(0, line->size());
       return owner_.head_came(head_.substr(0, head_.size() - 2));
     }
     pinged_ = true;
     const std::size_t size = line->size();
     if (!owner_.taking() || !say("PONG\r\n")) return fail();
-    stream_.in().drop(size);
-    wakes_.after(first_line_within_, *this, ++token_);
+    stream_.input().consume(size);
+    timers_.schedule(first_line_within_, *this, ++token_);
   }
   // Guards against lines without an end, which would fill the buffer and leave the connection stuck.
   if (!all_out()) return;
-  if (stream_.in().held().size() >= kLongestLine || stream_.at_end()) fail();
+  if (stream_.input().buffered().size() >= kMaxLineBytes || stream_.at_eof()) fail();
 }
 
 void ClientConn::fail() {
-  const bool check_only = pinged_ && (stream_.in().empty() || !owner_.taking());
+  const bool check_only = pinged_ && (stream_.input().empty() || !owner_.taking());
   owner_.client_failed(check_only ? Reason::checked : Reason::bad_line);
-  if (stream_.at_end()) return close();
+  if (stream_.at_eof()) return close();
   answer("ERR\r\n");
 }
 
@@ -85,29 +85,29 @@
 void ClientConn::writable(Stream&) {
   if (!flush()) return;  // its reading side tells of the end
   if (!all_out()) return;
-  if (phase_ == Phase::lingering) stream_.end_sending();
-  if (phase_ == Phase::head) came(stream_);
+  if (phase_ == Phase::lingering) stream_.shutdown_send();
+  if (phase_ == Phase::head) input_ready(stream_);
 }
 
 void ClientConn::answer(std::string_view line) {
-  if (!say(line) || all_out()) stream_.end_sending();
+  if (!say(line) || all_out()) stream_.shutdown_send();
   // Closing with bytes unread would reset the connection and might take the answer with it.
-  stream_.in().clear();
+  stream_.input().clear();
   phase_ = Phase::lingering;
   drained_ = drained_seen_ = 0;
-  drained_until_ = wakes_.now() + kDrain;
+  drained_until_ = timers_.now() + kDrain;
   idle_.enter(*this);
-  wakes_.after(stream_.at_end() ? Micros{0} : kLinger, *this, ++token_);
+  timers_.schedule(stream_.at_eof() ? Micros{0} : kLinger, *this, ++token_);
   stream_.want_read();
 }
 
 // Guards against a dial for a client that left while this node had no time to hear of it.
 bool ClientConn::still_waits() {
   if (phase_ != Phase::waiting) return false;
-  while (!stream_.in().full()) {
-    const std::size_t before = stream_.in().held().size();
-    if (!stream_.look()) break;
-    if (stream_.in().held().size() == before) return true;
+  while (!stream_.input().full()) {
+    const std::size_t before = stream_.input().buffered().size();
+    if (!stream_.read_available()) break;
+    if (stream_.input().buffered().size() == before) return true;
   }
   owner_.client_left();
   return false;
@@ -116,7 +116,7 @@
 Stream& ClientConn::accepted() {
   phase_ = Phase::given;
   ++token_;
-  stream_.in().drop(head_.size());
+  stream_.input().consume(head_.size());
   return stream_;
 }
 
@@ -126,12 +126,12 @@
   close();
 }
 
-void ClientConn::woken(std::uint64_t token) {
+void ClientConn::timer_expired(std::uint64_t token) {
   if (token != token_) return;
   if (phase_ == Phase::head) return fail();
   if (phase_ != Phase::lingering) return;
-  if (std::exchange(drained_seen_, drained_) == drained_ || wakes_.now() >= drained_until_) return close();
-  wakes_.after(kLinger, *this, token_);
+  if (std::exchange(drained_seen_, drained_) == drained_ || timers_.now() >= drained_until_) return close();
+  timers_.schedule(kLinger, *this, token_);
 }
 
 void ClientConn::evict() {
--- a/src/line/client_conn.h
+++ b/src/line/client_conn.h
@@ -6,7 +6,7 @@
 #include "line/idle_clients.h"
 #include "line/reason.h"
 #include "net/stream.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 
 namespace flintweir::line {
 
@@ -24,10 +24,15 @@
   ~ClientOwner() = default;
 };
 
-class ClientConn final : StreamEvents, Woken, IdleClient {
+class ClientConn final : StreamEvents, TimerEvents, IdleClient {
  public:
-  ClientConn(Sockets& sockets, Wakes& wakes, IdleClients& idle, Micros first_line_within, ClientOwner& owner)
-      : stream_(sockets), wakes_(wakes), idle_(idle), first_line_within_(first_line_within), owner_(owner) {}
+  ClientConn(Sockets& sockets, TimerQueue& timers, IdleClients& idle, Micros first_line_within,
+             ClientOwner& owner)
+      : stream_(sockets),
+        timers_(timers),
+        idle_(idle),
+        first_line_within_(first_line_within),
+        owner_(owner) {}
 
   void begin(SocketKey socket);
   std::string_view head() const { return head_; }  // where it lies in the buffer
@@ -39,13 +44,13 @@
 
  private:
   enum class Phase { idle, head, waiting, lingering, given };
-  void came(Stream&) override;
+  void input_ready(Stream&) override;
   void writable(Stream&) override;
   void broken(Stream&) override;
-  void woken(std::uint64_t token) override;
+  void timer_expired(std::uint64_t token) override;
   void evict() override;
   void look_for_head();
-  bool gone() { return stream_.at_end() || stream_.in().full(); }
+  bool gone() { return stream_.at_eof() || stream_.input().full(); }
   void fail();
   bool say(std::string_view text);  // false: the connection is broken, or there is no place for it
   bool flush();
@@ -53,7 +58,7 @@
   void close();
 
   Stream stream_;
-  Wakes& wakes_;
+  TimerQueue& timers_;
   IdleClients& idle_;
   Micros first_line_within_;
   ClientOwner& owner_;
--- a/src/line/host_conn.cpp
+++ b/src/line/host_conn.cpp
@@ -9,19 +9,19 @@
 void HostConn::dial(const Address& to, std::string_view head, std::string_view time_left, Micros within) {
   head_ = head;
   time_left_ = time_left;
-  until_ = wakes_.now() + within;
+  until_ = timers_.now() + within;
   digits_size_ = sent_ = 0;
   if (!stream_.connect(to, *this)) return fail();
   ++use_;
   phase_ = Phase::connecting;
-  wakes_.after(std::min(connect_within_, within), *this, token(Due::connect));
-  wakes_.after(within, *this, token(Due::limit));
+  timers_.schedule(std::min(connect_within_, within), *this, token(Due::connect));
+  timers_.schedule(within, *this, token(Due::limit));
 }
 
 void HostConn::fail() {
   ++use_;
   phase_ = Phase::failed;
-  wakes_.after(Micros{0}, *this, token(Due::limit));
+  timers_.schedule(Micros{0}, *this, token(Due::limit));
 }
 
 void HostConn::give_up() {
@@ -41,7 +41,7 @@
   if (!owner_.still_wanted()) return;
   phase_ = Phase::sending;
   if (!time_left_.empty()) {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until_ - wakes_.now()).count();
+    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until_ - timers_.now()).count();
     const auto end =
         std::to_chars(digits_.data(), digits_.data() + digits_.size(), std::max<long long>(left, 1));
     digits_size_ = static_cast<std::size_t>(end.ptr - digits_.data());
@@ -76,15 +76,15 @@
   phase_ = Phase::sent;
 }
 
-void HostConn::came(Stream&) {
-  const auto line = stream_.in().line();
+void HostConn::input_ready(Stream&) {
+  const auto line = stream_.input().line();
   if (!line) {
-    if (stream_.at_end()) return broken(stream_);
-    if (stream_.in().held().size() >= kLongestLine) return end(DialOutcome::error_reply);
+    if (stream_.at_eof()) return broken(stream_);
+    if (stream_.input().buffered().size() >= kMaxLineBytes) return end(DialOutcome::error_reply);
     return stream_.want_read();
   }
   std::string_view rest;
-  switch (parse_host_message(without_end(*line), rest)) {
+  switch (parse_host_message(trim_line_end(*line), rest)) {
     case HostMessage::up:
       return owner_.host_accepted();
     case HostMessage::bye:
@@ -102,7 +102,7 @@
   end(phase_ == Phase::sent ? DialOutcome::connection_lost : DialOutcome::connect_failed);
 }
 
-void HostConn::woken(std::uint64_t t) {
+void HostConn::timer_expired(std::uint64_t t) {
   if (t == token(Due::connect) && phase_ == Phase::connecting) return end(DialOutcome::connect_failed);
   if (t != token(Due::limit)) return;
   if (phase_ == Phase::failed) return end(DialOutcome::not_sent);
--- a/src/line/host_conn.h
+++ b/src/line/host_conn.h
@@ -5,7 +5,7 @@
 
 #include "balance.h"
 #include "net/stream.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 
 namespace flintweir::line {
 
@@ -23,10 +23,10 @@
   ~HostOwner() = default;
 };
 
-class HostConn final : StreamEvents, Woken {
+class HostConn final : StreamEvents, TimerEvents {
  public:
-  HostConn(Sockets& sockets, Wakes& wakes, Micros connect_within, HostOwner& owner)
-      : stream_(sockets), wakes_(wakes), connect_within_(connect_within), owner_(owner) {}
+  HostConn(Sockets& sockets, TimerQueue& timers, Micros connect_within, HostOwner& owner)
+      : stream_(sockets), timers_(timers), connect_within_(connect_within), owner_(owner) {}
 
   // `head` is sent on, but for the digits `time_left` within it, which become the time that this dial has.
   // Both must stay in place until it ends. The end comes in a later turn, never from within.
@@ -40,16 +40,16 @@
   enum class Phase { idle, failed, connecting, sending, sent, given };
   enum class Due : std::uint64_t { connect, limit };
   void connected(Stream&, ConnectResult result) override;
-  void came(Stream&) override;
+  void input_ready(Stream&) override;
   void writable(Stream&) override;
   void broken(Stream&) override;
-  void woken(std::uint64_t token) override;
+  void timer_expired(std::uint64_t token) override;
   std::uint64_t token(Due due) const { return use_ << 1 | static_cast<std::uint64_t>(due); }
   void send();
   void end(DialOutcome how);
 
   Stream stream_;
-  Wakes& wakes_;
+  TimerQueue& timers_;
   Micros connect_within_;
   HostOwner& owner_;
   Phase phase_ = Phase::idle;
--- a/src/line/probes.cpp
+++ b/src/line/probes.cpp
@@ -33,7 +33,7 @@
 // Guards against a hundred nodes whose kept connections fill the host's table while their sessions are turned
 // away.
 void Probes::Probe::give_way() {
-  keeps_from_ = probes_.wakes_.now() + kGivesWay;
+  keeps_from_ = probes_.timers_.now() + kGivesWay;
   if (!asking_) stream_.close();
 }
 
@@ -46,19 +46,19 @@
 void Probes::Probe::ask(HostId host, const Address* at) {
   if (std::exchange(asking_, true)) return;  // the answer under way serves both
   host_ = host;
-  asked_at_ = probes_.wakes_.now();
+  asked_at_ = probes_.timers_.now();
   // A host may come back at a new address.
   if (at && at_ != *at) stream_.close();
   if (at) at_ = *at;
   ++token_;
   // What lies there already answers no question of now: taken for this one's it would be an older load.
-  if (stream_.open() && !stream_.fit_to_ask()) stream_.close();
+  if (stream_.open() && !stream_.reusable()) stream_.close();
   kept_ = stream_.open();
   if (kept_)
     send();
   else if (!at || !stream_.connect(at_, *this))
-    return probes_.wakes_.after(Micros{0}, *this, token_);
-  probes_.wakes_.after(probes_.answer_within_, *this, token_);
+    return probes_.timers_.schedule(Micros{0}, *this, token_);
+  probes_.timers_.schedule(probes_.answer_within_, *this, token_);
 }
 
 void Probes::Probe::connected(Stream&, ConnectResult result) {
@@ -79,17 +79,17 @@
   stream_.want_read();
 }
 
-void Probes::Probe::came(Stream&) {
-  const auto line = stream_.in().line();
+void Probes::Probe::input_ready(Stream&) {
+  const auto line = stream_.input().line();
   if (!line) {
-    if (stream_.at_end() || stream_.in().full()) return broken(stream_);
+    if (stream_.at_eof() || stream_.input().full()) return broken(stream_);
     return stream_.want_read();
   }
   std::string_view rest;
-  const bool pong = parse_host_message(without_end(*line), rest) == HostMessage::pong;
+  const bool pong = parse_host_message(trim_line_end(*line), rest) == HostMessage::pong;
   const LoadReport report = pong ? parse_load_report(rest) : LoadReport{};
-  stream_.in().drop(line->size());
-  if (!pong || stream_.at_end() || probes_.wakes_.now() < keeps_from_) stream_.close();
+  stream_.input().consume(line->size());
+  if (!pong || stream_.at_eof() || probes_.timers_.now() < keeps_from_) stream_.close();
   // What nobody asked for is no answer to the next question.
   if (!asking_) return stream_.close();
   if (stream_.open()) stream_.want_read();
@@ -102,13 +102,13 @@
   // A kept connection may have been closed by the host while it was idle: that says nothing of the host.
   // The module may be in the middle of asking: it is told in a later turn.
   if (std::exchange(kept_, false)) {
-    if (!stream_.connect(at_, *this)) probes_.wakes_.after(Micros{0}, *this, token_);
+    if (!stream_.connect(at_, *this)) probes_.timers_.schedule(Micros{0}, *this, token_);
     return;
   }
   end(DialOutcome::connection_lost, {});
 }
 
-void Probes::Probe::woken(std::uint64_t token) {
+void Probes::Probe::timer_expired(std::uint64_t token) {
   if (token != token_ || !asking_) return;
   stream_.close();  // an answer that comes later must not be taken for the next one's
   end(DialOutcome::timed_out, {});
@@ -117,7 +117,7 @@
 void Probes::Probe::end(DialOutcome how, const LoadReport& report) {
   ++token_;
   asking_ = false;
-  probes_.told_.probed(host_, how, probes_.wakes_.now() - asked_at_, report);
+  probes_.told_.probed(host_, how, probes_.timers_.now() - asked_at_, report);
 }
 
 }  // namespace flintweir::line
--- a/src/line/probes.h
+++ b/src/line/probes.h
@@ -6,7 +6,7 @@
 #include "balance.h"
 #include "line/host_table.h"
 #include "net/stream.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 #include "slab.h"
 
 namespace flintweir::line {
@@ -22,8 +22,8 @@
    protected:
     ~Told() = default;
   };
-  Probes(Sockets& sockets, Wakes& wakes, Micros answer_within, Told& told)
-      : sockets_(sockets), wakes_(wakes), answer_within_(answer_within), told_(told) {}
+  Probes(Sockets& sockets, TimerQueue& timers, Micros answer_within, Told& told)
+      : sockets_(sockets), timers_(timers), answer_within_(answer_within), told_(told) {}
 
   // Answered by one call of probed(), in a later turn.
   void ask(HostId host, const Address* at);
@@ -32,7 +32,7 @@
   void give_way(HostId host);
 
  private:
-  class Probe final : StreamEvents, Woken {
+  class Probe final : StreamEvents, TimerEvents {
    public:
     explicit Probe(Probes& probes) : probes_(probes), stream_(probes.sockets_) {}
     void ask(HostId host, const Address* at);
@@ -41,10 +41,10 @@
 
    private:
     void connected(Stream&, ConnectResult result) override;
-    void came(Stream&) override;
+    void input_ready(Stream&) override;
     void writable(Stream&) override { send_rest(); }
     void broken(Stream&) override;
-    void woken(std::uint64_t token) override;
+    void timer_expired(std::uint64_t token) override;
     void send();
     void send_rest();
     void end(DialOutcome how, const LoadReport& report);
@@ -60,7 +60,7 @@
   };
 
   Sockets& sockets_;
-  Wakes& wakes_;
+  TimerQueue& timers_;
   Micros answer_within_;
   Told& told_;
   Slab<Probe> probes_;
--- a/src/line/protocol.cpp
+++ b/src/line/protocol.cpp
@@ -50,8 +50,8 @@
   if (!printable(line) || cut(line, ' ') != "OPEN") return false;
   const std::string_view id = cut(line, ' '), key = cut(line, ' ');
   if (!is_word(id) || !is_word(key) || line.find(' ') != line.npos || line.ends_with(',')) return false;
-  given = ConnectionId{setup::id_of(id)};
-  taken.client = ClientKey{setup::key_of(key)};
+  given = ConnectionId{setup::hash_name(id)};
+  taken.client = ClientKey{setup::parse_key(key)};
   unsigned seen = 0;
   const auto once = [&](unsigned bit) { return !(std::exchange(seen, seen | bit) & bit); };
   const auto flag = [](std::string_view value, bool& out) {
@@ -74,9 +74,9 @@
     } else if (name == "g") {
       if (!once(4)) return false;
       if (groups_)
-        taken.group = GroupId{setup::key_of(value)};
+        taken.group = GroupId{setup::parse_key(value)};
       else
-        taken.client = ClientKey{setup::key_of(value)};
+        taken.client = ClientKey{setup::parse_key(value)};
     } else if (name == "r") {
       if (!flag(value, taken.is_retry)) return false;
     } else if (name == "again") {
@@ -122,7 +122,7 @@
   while (!text.empty()) {
     std::string_view value = cut(text, ',');
     const std::string_view name = cut(value, '=');
-    if (const auto n = number(value)) setup::set_field(report, name, *n);
+    if (const auto n = number(value)) setup::set_report_field(report, name, *n);
   }
   return report;
 }
--- a/src/line/proxy_session.cpp
+++ b/src/line/proxy_session.cpp
@@ -17,9 +17,9 @@
 
 ProxySession::ProxySession(Sessions& s)
     : sessions_(s),
-      client_(s.sockets_, s.wakes_, s.idle_, s.patience_.first_line, *this),
-      host_(s.sockets_, s.wakes_, s.patience_.connect, *this),
-      relay_(s.wakes_, *this) {}
+      client_(s.sockets_, s.timers_, s.idle_, s.patience_.first_line, *this),
+      host_(s.sockets_, s.timers_, s.patience_.connect, *this),
+      relay_(s.timers_, *this) {}
 
 void ProxySession::begin(SlabKey key, SocketKey socket) {
   key_ = key;
@@ -30,14 +30,14 @@
   at_ = HostId{};
   dials_ = 0;
   inherited_ = answered_ = open_ = false;
-  began_ = sessions_.wakes_.now();
+  began_ = sessions_.timers_.now();
   client_.begin(socket);
 }
 
 bool ProxySession::taking() const { return !sessions_.leaving_; }
 
 void ProxySession::head_came(std::string_view line) {
-  began_ = sessions_.wakes_.now();
+  began_ = sessions_.timers_.now();
   logged_id_ = LoggedId(id_word(line));
   std::string_view at;
   ConnectionId id;
@@ -54,7 +54,7 @@
   id_ = id;
   if (!at.empty()) {
     inherited_ = true;
-    at_ = HostId{setup::id_of(at)};
+    at_ = HostId{setup::hash_name(at)};
     return dial_holder();
   }
   const SessionHandle handle = sessions_.balancer_now().start_session(SessId{key_.packed()}, taken_);
@@ -64,7 +64,7 @@
 void ProxySession::dial(HostId host, Micros within) {
   at_ = host;
   ++dials_;
-  const Micros left = taken_.deadline - sessions_.wakes_.now();
+  const Micros left = taken_.deadline - sessions_.timers_.now();
   const Micros limit = within > 0us ? std::min(within, left) : left;
   const HostTable::Host* h = sessions_.hosts_.find(host);
   if (dials_ > 1)
@@ -137,7 +137,7 @@
     handle_.dial_accepted(dial_no());
   relay_.start(client_.accepted(), host_.accepted());
   // Too late for its turn among the others.
-  if (sessions_.leaving_ && sessions_.wakes_.now() >= sessions_.move_from_) move(Reason::restarting);
+  if (sessions_.leaving_ && sessions_.timers_.now() >= sessions_.move_from_) move(Reason::restarting);
 }
 
 void ProxySession::dial_ended(DialOutcome how) {
@@ -149,7 +149,7 @@
   }
   const bool never_ran =
       how == DialOutcome::connect_failed || how == DialOutcome::rejected || how == DialOutcome::not_sent;
-  if (!never_ran || sessions_.wakes_.now() + kHolderAgain >= taken_.deadline)
+  if (!never_ran || sessions_.timers_.now() + kHolderAgain >= taken_.deadline)
     return answer(never_ran ? "BUSY\r\n" : "ERR\r\n", never_ran ? Reason::refused : Reason::torn_down);
   sessions_.again(key_, kHolderAgain);
 }
@@ -176,7 +176,7 @@
 
 void ProxySession::log_end(const char* code, std::optional<RefusalReason> refusal) {
   const auto ms =
-      std::chrono::duration_cast<std::chrono::milliseconds>(sessions_.wakes_.now() - began_).count();
+      std::chrono::duration_cast<std::chrono::milliseconds>(sessions_.timers_.now() - began_).count();
   log_line("end %s id=%s client=%016llx host=%s listener=%u dials=%u ms=%lld%s%s", code, logged_id_.text(),
            static_cast<unsigned long long>(taken_.client.value_or(ClientKey{}).value),
            sessions_.hosts_.name(at_), taken_.listener.value, dials_, static_cast<long long>(ms),
--- a/src/line/relay.h
+++ b/src/line/relay.h
@@ -4,7 +4,7 @@
 #include "balance.h"
 #include "line/reason.h"
 #include "net/stream.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 
 namespace flintweir::line {
 
@@ -21,9 +21,9 @@
   ~RelayOwner() = default;
 };
 
-class Relay final : StreamEvents, Woken {
+class Relay final : StreamEvents, TimerEvents {
  public:
-  Relay(Wakes& wakes, RelayOwner& owner) : wakes_(wakes), owner_(owner) {}
+  Relay(TimerQueue& timers, RelayOwner& owner) : timers_(timers), owner_(owner) {}
 
   void start(Stream& client, Stream& host);
   // Tells the client to come again and closes both sides, in a later turn. Harmless once over.
@@ -32,10 +32,10 @@
 
  private:
   enum class Due : std::uint64_t { move, stuck, silence, linger };
-  void came(Stream& stream) override;
+  void input_ready(Stream& stream) override;
   void writable(Stream& stream) override;
   void broken(Stream& stream) override;
-  void woken(std::uint64_t token) override;
+  void timer_expired(std::uint64_t token) override;
   std::uint64_t token(Due due) const { return use_ << 2 | static_cast<std::uint64_t>(due); }
   void client_came();
   void host_came();
@@ -47,7 +47,7 @@
   void over(DialOutcome how, Reason why);
   void close();
 
-  Wakes& wakes_;
+  TimerQueue& timers_;
   RelayOwner& owner_;
   Stream* client_ = nullptr;
   Stream* host_ = nullptr;
--- a/src/line/sessions.cpp
+++ b/src/line/sessions.cpp
@@ -8,10 +8,11 @@
 
 using namespace std::chrono_literals;
 
-Sessions::Sessions(Sockets& sockets, Wakes& wakes, HostTable& hosts, Timeouts patience, Micros message_target,
-                   OpenLineParser heads, std::size_t most, std::size_t most_idle, Events& told)
+Sessions::Sessions(Sockets& sockets, TimerQueue& timers, HostTable& hosts, Timeouts patience,
+                   Micros message_target, OpenLineParser heads, std::size_t most, std::size_t most_idle,
+                   Events& told)
     : sockets_(sockets),
-      wakes_(wakes),
+      timers_(timers),
       hosts_(hosts),
       patience_(patience),
       message_target_(message_target),
@@ -19,10 +20,10 @@
       most_(most),
       idle_(most_idle),
       told_(told),
-      probes_(sockets, wakes, patience.probe, *this) {}
+      probes_(sockets, timers, patience.probe, *this) {}
 
 Balancer& Sessions::balancer_now() {
-  balancer_->set_time(wakes_.now());
+  balancer_->set_time(timers_.now());
   return *balancer_;
 }
 
@@ -62,7 +63,7 @@
 
 void Sessions::probe(HostId host) {
   const HostTable::Host* h = hosts_.find(host);
-  probes_.ask(host, h && sockets_.room(kSpare / 2) ? &h->at : nullptr);
+  probes_.ask(host, h && sockets_.has_room(kSpare / 2) ? &h->at : nullptr);
 }
 
 void Sessions::forget_host(HostId host) {
@@ -94,7 +95,7 @@
   if (!h || message_target_ == 0us) return false;
   const bool late = delay > message_target_ / 3;
   if (!late) return std::exchange(h->late, false);
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   if (h->late && now - h->late_told < 1s) return false;
   h->late = true;
   h->late_told = now;
@@ -104,9 +105,9 @@
 void Sessions::shut_down(Micros over) {
   leaving_ = true;
   // Guards against clients that are told to come again while fronts still send them here, to be refused.
-  move_from_ = wakes_.now() + kFrontNotices;
+  move_from_ = timers_.now() + kFrontNotices;
   leave_by_ = move_from_ + over;
-  wakes_.after(kFrontNotices, move_next_, 0);
+  timers_.schedule(kFrontNotices, move_next_, 0);
 }
 
 // Guards against all clients of a node coming back in the same moment: that is a storm for the others.
@@ -120,8 +121,8 @@
   });
   if (!next) return;
   next->move(Reason::restarting);
-  const Micros left = std::max(leave_by_ - wakes_.now(), Micros{0});
-  if (open > 1) wakes_.after(left / static_cast<std::int64_t>(open), move_next_, 0);
+  const Micros left = std::max(leave_by_ - timers_.now(), Micros{0});
+  if (open > 1) timers_.schedule(left / static_cast<std::int64_t>(open), move_next_, 0);
 }
 
 }  // namespace flintweir::line
--- a/src/line/sessions.h
+++ b/src/line/sessions.h
@@ -27,7 +27,7 @@
     ~Events() = default;
   };
   // `message_target` is zero where delays of messages are not the module's to know.
-  Sessions(Sockets& sockets, Wakes& wakes, HostTable& hosts, Timeouts patience, Micros message_target,
+  Sessions(Sockets& sockets, TimerQueue& timers, HostTable& hosts, Timeouts patience, Micros message_target,
            OpenLineParser heads, std::size_t most, std::size_t most_idle, Events& told);
 
   void set_balancer(std::unique_ptr<Balancer> balancer) { balancer_ = std::move(balancer); }
@@ -48,7 +48,7 @@
   void tear_down(SessId sess, RefusalReason why) override;
   void move(SessId sess) override;
   void probe(HostId host) override;
-  void set_timer(Micros in, TimerId wake) override { wakes_.after(in, module_wakes_, wake.value); }
+  void set_timer(Micros in, TimerId wake) override { timers_.schedule(in, module_wakes_, wake.value); }
   void watch_list() override { told_.watch_host_list(); }
   void forget_host(HostId host) override;
   void log(std::string_view line) override;
@@ -56,9 +56,9 @@
 
  private:
   friend class ProxySession;
-  struct Waker final : Woken {
+  struct Waker final : TimerEvents {
     Waker(Sessions& s, void (Sessions::*c)(std::uint64_t)) : sessions(s), call(c) {}
-    void woken(std::uint64_t token) override { (sessions.*call)(token); }
+    void timer_expired(std::uint64_t token) override { (sessions.*call)(token); }
     Sessions& sessions;
     void (Sessions::*call)(std::uint64_t);
   };
@@ -69,8 +69,8 @@
 
   void busy(ProxySession& link, Micros stay_away, Reason why, std::optional<RefusalReason> refusal = {});
   ProxySession* find(SessId sess) { return links_.find(SlabKey::unpacked(sess.value)); }
-  bool has_room() const { return count_ <= most_ && sockets_.room(kSpare); }
-  void again(SlabKey key, Micros in) { wakes_.after(in, dial_again_, key.packed()); }
+  bool has_room() const { return count_ <= most_ && sockets_.has_room(kSpare); }
+  void again(SlabKey key, Micros in) { timers_.schedule(in, dial_again_, key.packed()); }
   bool delay_counts(HostId host, Micros delay);
   void free(SlabKey key);
 
@@ -80,7 +80,7 @@
   static constexpr std::size_t kSpare = 16;      // descriptors kept for refusing, for probes and for the list
 
   Sockets& sockets_;
-  Wakes& wakes_;
+  TimerQueue& timers_;
   HostTable& hosts_;
   Timeouts patience_;
   Micros message_target_;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -14,7 +14,7 @@
 #include "change_command.h"
 #include "lease_command.h"
 #include "net/kernel_network.h"
-#include "net/nowhere.h"
+#include "net/null_network.h"
 #include "node/node.h"
 #include "plain_text.h"
 #include "view_client.h"
@@ -70,7 +70,8 @@
 }
 
 flintweir::setup::OperatorFile operator_file(const std::string& path) {
-  return path.empty() ? flintweir::setup::OperatorFile() : flintweir::setup::OperatorFile::read(path);
+  return path.empty() ? flintweir::setup::OperatorFile()
+                      : flintweir::setup::OperatorFile::load_or_throw(path);
 }
 
 // As the files say; the node serves nobody yet.
@@ -89,7 +90,7 @@
   flintweir::node::Node node(network, *file);
   set_up(node, *file, operator_file(own));
   // Before anybody can be taken: a signal that came in between would end the program with its clients.
-  network.hear_signals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
+  network.handle_signals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
     if (signal != SIGHUP) return node.leave();
     node.reload([&] { return std::pair(node_file(config), operator_file(own)); });
   });
@@ -102,12 +103,12 @@
 int check(const std::string& config, const std::string& own) {
   std::vector<std::string> wrong;
   const auto operators =
-      own.empty() ? flintweir::setup::OperatorFile() : flintweir::setup::OperatorFile::of_file(own, wrong);
+      own.empty() ? flintweir::setup::OperatorFile() : flintweir::setup::OperatorFile::load(own, wrong);
   for (const std::string& line : wrong) std::fprintf(stderr, "flintweir: %s\n", line.c_str());
   if (!config.empty()) {
-    flintweir::net::Nowhere nowhere;
+    flintweir::net::NullNetwork null_network;
     const auto file = node_file(config);
-    flintweir::node::Node node(nowhere, *file);
+    flintweir::node::Node node(null_network, *file);
     if (wrong.empty()) set_up(node, *file, operators);
     std::printf("%s: ok\n", config.c_str());
   }
--- a/src/net/http_get.cpp
+++ b/src/net/http_get.cpp
@@ -11,9 +11,9 @@
 
 }  // namespace
 
-HttpGet::HttpGet(Sockets& sockets, Wakes& wakes, const Address& at, Told& told)
-    : stream_(sockets), wakes_(wakes), told_(told) {
-  switch_to(at);
+HttpGet::HttpGet(Sockets& sockets, TimerQueue& timers, const Address& at, Events& events)
+    : stream_(sockets), timers_(timers), events_(events) {
+  set_server(at);
   http_parser_settings_init(&callbacks_);
   callbacks_.on_body = [](http_parser* p, const char* bytes, std::size_t n) {
     std::string& body = static_cast<HttpGet*>(p->data)->body_;
@@ -28,7 +28,7 @@
   };
 }
 
-void HttpGet::switch_to(const Address& at) {
+void HttpGet::set_server(const Address& at) {
   at_ = at;
   host_ = to_text(at);
   drop();
@@ -53,10 +53,10 @@
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
   ++token_;
-  asked_at_ = wakes_.now();
+  asked_at_ = timers_.now();
   wait_ = wait;
   slack_ = slack;
-  if (stream_.open() && !stream_.fit_to_ask()) stream_.close();
+  if (stream_.open() && !stream_.reusable()) stream_.close();
   kept_ = stream_.open();
   expect(kept_ ? wait + slack : kComesUp);
   if (kept_) return send();
@@ -64,8 +64,8 @@
 }
 
 void HttpGet::expect(Micros within) {
-  due_ = wakes_.now() + within;
-  wakes_.after(within, *this, token_);
+  due_ = timers_.now() + within;
+  timers_.schedule(within, *this, token_);
 }
 
 void HttpGet::connected(Stream&, ConnectResult result) {
@@ -84,32 +84,32 @@
   stream_.want_read();
 }
 
-void HttpGet::came(Stream&) {
-  const std::string_view bytes = stream_.in().held();
+void HttpGet::input_ready(Stream&) {
+  const std::string_view bytes = stream_.input().buffered();
   if (!asking_) return stream_.close();  // the end of an idle connection, or what nobody asked for
   if (!bytes.empty()) {
     kept_ = false;
     begun_ = true;
     // One that has begun to answer waits for nothing any more. Guards against a service that falls silent
     // within.
-    if (due_ - wakes_.now() > slack_) expect(slack_);
+    if (due_ - timers_.now() > slack_) expect(slack_);
     http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
   }
-  if (!whole_ && stream_.at_end()) {
+  if (!whole_ && stream_.at_eof()) {
     http_parser_execute(&parser_, &callbacks_, nullptr, 0);  // a body may last until the end
     if (!whole_) return broken(stream_);
   }
   const auto error = HTTP_PARSER_ERRNO(&parser_);
   if (error != HPE_OK && error != HPE_PAUSED) return fail(http_errno_name(error), RequestFailure::truncated);
-  stream_.in().clear();
+  stream_.input().clear();
   if (!whole_) return stream_.want_read();
   asking_ = false;
   ++token_;
-  if (stream_.at_end() || !http_should_keep_alive(&parser_))
+  if (stream_.at_eof() || !http_should_keep_alive(&parser_))
     stream_.close();
   else
     stream_.want_read();
-  told_.http_answered(parser_.status_code, body_);
+  events_.http_response(parser_.status_code, body_);
 }
 
 void HttpGet::broken(Stream&) {
@@ -118,21 +118,21 @@
   // A kept connection may have ended before the question was there: asked again on a new one, once. One that
   // ends later has been heard. Guards against all nodes asking again in the moment in which a service that is
   // swamped breaks their calls off, without the pause that is due.
-  if (std::exchange(kept_, false) && wakes_.now() - asked_at_ < kCrossing) {
+  if (std::exchange(kept_, false) && timers_.now() - asked_at_ < kCrossing) {
     sent_ = 0;
     return expect(stream_.connect(at_, *this) ? kComesUp : Micros{0});
   }
   fail("the connection broke", unless_begun(RequestFailure::connection_closed));
 }
 
-void HttpGet::woken(std::uint64_t token) {
-  if (token == token_ && asking_ && wakes_.now() >= due_)
+void HttpGet::timer_expired(std::uint64_t token) {
+  if (token == token_ && asking_ && timers_.now() >= due_)
     fail("no answer in time", unless_begun(RequestFailure::timeout));
 }
 
 void HttpGet::fail(const char* why, RequestFailure how) {
   drop();
-  told_.http_failed(why, how);
+  events_.http_failed(why, how);
 }
 
 }  // namespace flintweir::net
--- a/src/net/http_get.h
+++ b/src/net/http_get.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "net/stream.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 
 namespace flintweir::net {
 
@@ -17,31 +17,31 @@
   connection_refused
 };
 
-class HttpGet final : StreamEvents, Woken {
+class HttpGet final : StreamEvents, TimerEvents {
  public:
-  class Told {
+  class Events {
    public:
-    virtual void http_answered(unsigned status, std::string& body) = 0;
+    virtual void http_response(unsigned status, std::string& body) = 0;
     virtual void http_failed(const char* why, RequestFailure how) = 0;
 
    protected:
-    ~Told() = default;
+    ~Events() = default;
   };
-  HttpGet(Sockets& sockets, Wakes& wakes, const Address& at, Told& told);
+  HttpGet(Sockets& sockets, TimerQueue& timers, const Address& at, Events& events);
 
-  // One call on Told ends it, in a later turn. The service may wait for so long before it begins to answer;
+  // One call on Events ends it, in a later turn. The service may wait for so long before it begins to answer;
   // that and the answer's end may each come `slack` later.
   void get(std::string_view path, Micros wait, Micros slack);
   // From now on asks there; a call that is out ends without a word.
-  void switch_to(const Address& at);
-  const Address& at() const { return at_; }
+  void set_server(const Address& at);
+  const Address& server() const { return at_; }
 
  private:
   void connected(Stream&, ConnectResult result) override;
-  void came(Stream&) override;
+  void input_ready(Stream&) override;
   void writable(Stream&) override { send(); }
   void broken(Stream&) override;
-  void woken(std::uint64_t token) override;
+  void timer_expired(std::uint64_t token) override;
   void send();
   void drop();  // the call that is out, with its connection
   void fail(const char* why, RequestFailure how);
@@ -50,10 +50,10 @@
   void expect(Micros within);  // what comes next
 
   Stream stream_;
-  Wakes& wakes_;
+  TimerQueue& timers_;
   Address at_;
   std::string host_;
-  Told& told_;
+  Events& events_;
   http_parser parser_{};
   http_parser_settings callbacks_{};
   std::string request_, body_;
--- a/src/net/kernel_network.cpp
+++ b/src/net/kernel_network.cpp
@@ -37,15 +37,15 @@
 
 }  // namespace
 
-void KernelNetwork::retire() {
-  retired_ = true;
+void KernelNetwork::shut_down() {
+  shut_down_ = true;
   std::error_code ignored;
   acceptor_.close(ignored);
   post_.close(ignored);
   timer_.cancel();
 }
 
-void KernelNetwork::hear_signals(std::initializer_list<int> numbers, std::function<void(int)> heard) {
+void KernelNetwork::handle_signals(std::initializer_list<int> numbers, std::function<void(int)> heard) {
   heard_ = std::move(heard);
   for (const int number : numbers) signals_.add(number);
   next_signal();
@@ -59,7 +59,7 @@
   });
 }
 
-Micros KernelNetwork::ticking() const {
+Micros KernelNetwork::now_including_suspend() const {
   std::timespec t{};
   clock_gettime(CLOCK_BOOTTIME, &t);
   return Micros{static_cast<std::int64_t>(t.tv_sec) * 1'000'000 + t.tv_nsec / 1000};
@@ -69,10 +69,10 @@
   return std::chrono::duration_cast<Micros>(zero_ + (std::chrono::steady_clock::now() - began_));
 }
 
-void KernelNetwork::ring(Micros at, Alarm& whom) {
+void KernelNetwork::set_alarm(Micros at, AlarmEvents& whom) {
   timer_.expires_at(began_ + (at - zero_));
   timer_.async_wait([this, &whom](std::error_code ec) {
-    if (!ec && !retired_) whom.rang();  // else it was set anew
+    if (!ec && !shut_down_) whom.alarm_expired();  // else it was set anew
   });
 }
 
@@ -88,19 +88,19 @@
 
 void KernelNetwork::wait_accept(AcceptEvents& whom) {
   acceptor_.async_wait(Tcp::acceptor::wait_read, [this, &whom](std::error_code ec) {
-    if (!ec && !retired_) whom.connection_waits();
+    if (!ec && !shut_down_) whom.connection_pending();
   });
 }
 
-Accepted KernelNetwork::accept() {
+AcceptResult KernelNetwork::accept() {
   std::error_code ec;
   Socket socket(io_);
   acceptor_.accept(socket, ec);
   if (!ec) return {adopt(std::move(socket), nullptr)};
-  if (ec == asio::error::would_block) return {{}, Io::later};
-  if (ec == asio::error::connection_aborted || ec == asio::error::interrupted) return {{}, Io::ended};
+  if (ec == asio::error::would_block) return {{}, IoStatus::would_block};
+  if (ec == asio::error::connection_aborted || ec == asio::error::interrupted) return {{}, IoStatus::closed};
   why_ = ec.message();
-  return {{}, Io::broken, why_.c_str()};
+  return {{}, IoStatus::failed, why_.c_str()};
 }
 
 SocketKey KernelNetwork::adopt(Socket socket, SocketEvents* whom) {
@@ -112,7 +112,7 @@
   for (const auto& [option, value] : {std::pair(TCP_KEEPIDLE, 30), {TCP_KEEPINTVL, 10}, {TCP_KEEPCNT, 3}}) {
     setsockopt(socket.native_handle(), IPPROTO_TCP, option, &value, sizeof value);
   }
-  const SocketKey key = sockets_.lend(io_);
+  const SocketKey key = sockets_.acquire(io_);
   Entry& entry = *sockets_.find(key);
   entry.socket = std::move(socket);
   entry.whom = whom;
@@ -137,7 +137,7 @@
   if (ec) return {};
   const SocketKey key = adopt(std::move(socket), &whom);
   sockets_.find(key)->socket.async_connect(there, kept([key](std::error_code error) {
-                                             if (Entry* e = Places<Entry>::find(key))
+                                             if (Entry* e = SlotPool<Entry>::find(key))
                                                e->whom->connected(result_of(error));
                                            }));
   return key;
@@ -153,16 +153,16 @@
 
 void KernelNetwork::wait_datagram(DatagramEvents& whom) {
   post_.async_wait(Udp::socket::wait_read, kept([this, &whom](std::error_code ec) {
-                     if (!ec && !retired_) whom.datagram_waits();
+                     if (!ec && !shut_down_) whom.datagram_pending();
                    }));
 }
 
-Received KernelNetwork::receive(char* to, std::size_t size) {
+ReceiveResult KernelNetwork::receive(char* to, std::size_t size) {
   std::error_code ec;
   Udp::endpoint from;
   const std::size_t n = post_.receive_from(asio::buffer(to, size), from, 0, ec);
-  if (ec) return {0, {}, not_now(ec) || !post_.is_open() ? Io::later : Io::broken};
-  return {n, address(from), Io::done};
+  if (ec) return {0, {}, not_now(ec) || !post_.is_open() ? IoStatus::would_block : IoStatus::failed};
+  return {n, address(from), IoStatus::done};
 }
 
 void KernelNetwork::send_datagram(const Address& to, std::string_view bytes) {
@@ -170,7 +170,7 @@
   if (post_.is_open()) post_.send_to(asio::buffer(bytes), endpoint<Udp>(to), 0, ignored);
 }
 
-void KernelNetwork::tell(SocketKey socket, SocketEvents& whom) {
+void KernelNetwork::set_events(SocketKey socket, SocketEvents& whom) {
   if (Entry* e = sockets_.find(socket)) e->whom = &whom;
 }
 
@@ -179,7 +179,7 @@
   Entry* const e = sockets_.find(key);
   if (!e) return;
   e->socket.async_wait(is_read ? Socket::wait_read : Socket::wait_write, kept([key](std::error_code ec) {
-                         Entry* const here = Places<Entry>::find(key);
+                         Entry* const here = SlotPool<Entry>::find(key);
                          if (!here) return;
                          if constexpr (is_read)
                            here->whom->readable(bool(ec));
@@ -191,19 +191,19 @@
 void KernelNetwork::wait_read(SocketKey socket) { wait<true>(socket); }
 void KernelNetwork::wait_write(SocketKey socket) { wait<false>(socket); }
 
-Passed KernelNetwork::read(SocketKey socket, char* to, std::size_t size) {
+IoResult KernelNetwork::read(SocketKey socket, char* to, std::size_t size) {
   Entry* const e = sockets_.find(socket);
-  if (!e) return {0, Io::broken};
+  if (!e) return {0, IoStatus::failed};
   std::error_code ec;
   const std::size_t n = e->socket.read_some(asio::buffer(to, size), ec);
-  if (!ec) return {n, Io::done};
-  if (not_now(ec)) return {0, Io::later};
-  return {0, ec == asio::error::eof ? Io::ended : Io::broken};
+  if (!ec) return {n, IoStatus::done};
+  if (not_now(ec)) return {0, IoStatus::would_block};
+  return {0, ec == asio::error::eof ? IoStatus::closed : IoStatus::failed};
 }
 
-Passed KernelNetwork::write(SocketKey socket, std::span<const std::string_view> parts) {
+IoResult KernelNetwork::write(SocketKey socket, std::span<const std::string_view> parts) {
   Entry* const e = sockets_.find(socket);
-  if (!e) return {0, Io::broken};
+  if (!e) return {0, IoStatus::failed};
   std::error_code ec;
   std::size_t n;
   if (parts.size() == 1) {
@@ -214,11 +214,11 @@
     for (std::size_t i = 0; i < count; ++i) buffers[i] = asio::buffer(parts[i]);
     n = e->socket.write_some(std::span(buffers.data(), count), ec);
   }
-  if (!ec) return {n, Io::done};
-  return {0, not_now(ec) ? Io::later : Io::broken};
+  if (!ec) return {n, IoStatus::done};
+  return {0, not_now(ec) ? IoStatus::would_block : IoStatus::failed};
 }
 
-void KernelNetwork::end_sending(SocketKey socket) {
+void KernelNetwork::shutdown_send(SocketKey socket) {
   std::error_code ignored;
   if (Entry* e = sockets_.find(socket)) e->socket.shutdown(Tcp::socket::shutdown_send, ignored);
 }
@@ -229,7 +229,7 @@
   std::error_code ignored;
   if (reset) e->socket.set_option(asio::socket_base::linger(true, 0), ignored);
   e->socket.close(ignored);
-  sockets_.drop(socket);
+  sockets_.release(socket);
 }
 
 }  // namespace flintweir::net
--- a/src/net/kernel_network.h
+++ b/src/net/kernel_network.h
@@ -32,27 +32,27 @@
   }
   // Closes the acceptor and the datagrams and forgets the alarm, for good. Whoever is told of sockets has
   // closed them.
-  void retire();
+  void shut_down();
   // Calls heard(number) for each of these signals from now on.
-  void hear_signals(std::initializer_list<int> numbers, std::function<void(int)> heard);
+  void handle_signals(std::initializer_list<int> numbers, std::function<void(int)> heard);
 
   Micros now() const override;
-  Micros ticking() const override;
-  void ring(Micros at, Alarm& whom) override;
+  Micros now_including_suspend() const override;
+  void set_alarm(Micros at, AlarmEvents& whom) override;
   Address listen(const Address& at) override;
   void wait_accept(AcceptEvents& whom) override;
-  Accepted accept() override;
+  AcceptResult accept() override;
   SocketKey connect(const Address& to, SocketEvents& whom) override;
-  void tell(SocketKey socket, SocketEvents& whom) override;
+  void set_events(SocketKey socket, SocketEvents& whom) override;
   void wait_read(SocketKey socket) override;
   void wait_write(SocketKey socket) override;
-  Passed read(SocketKey socket, char* to, std::size_t size) override;
-  Passed write(SocketKey socket, std::span<const std::string_view> parts) override;
-  void end_sending(SocketKey socket) override;
+  IoResult read(SocketKey socket, char* to, std::size_t size) override;
+  IoResult write(SocketKey socket, std::span<const std::string_view> parts) override;
+  void shutdown_send(SocketKey socket) override;
   void close(SocketKey socket, bool reset) override;
   Address open_datagrams(const Address& at) override;
   void wait_datagram(DatagramEvents& whom) override;
-  Received receive(char* to, std::size_t size) override;
+  ReceiveResult receive(char* to, std::size_t size) override;
   void send_datagram(const Address& to, std::string_view bytes) override;
   void stop() override { io_.stop(); }
 
@@ -87,8 +87,8 @@
   asio::basic_datagram_socket<asio::ip::udp, Executor> post_{io_};
   asio::signal_set signals_{io_};
   std::function<void(int)> heard_;
-  bool retired_ = false;
-  Places<Entry> sockets_;
+  bool shut_down_ = false;
+  SlotPool<Entry> sockets_;
   std::string why_;
 };
 
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-void log_to(LogSink* sink) { elsewhere = sink; }
+void set_log_sink(LogSink* sink) { elsewhere = sink; }
 
 void log_line(const char* format, ...) {
   if (!elsewhere && !may_write()) return;
@@ -64,7 +64,7 @@
   va_start(args, format);
   std::vsnprintf(line, sizeof line, format, args);
   va_end(args);
-  if (elsewhere) return elsewhere->line(line);
+  if (elsewhere) return elsewhere->write_line(line);
   write_line(line);
 }
 
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -6,12 +6,12 @@
 // Where this thread's lines go instead of standard error, all of them; null: back there.
 class LogSink {
  public:
-  virtual void line(const char* text) = 0;
+  virtual void write_line(const char* text) = 0;
 
  protected:
   ~LogSink() = default;
 };
-void log_to(LogSink* sink);
+void set_log_sink(LogSink* sink);
 
 // One line to standard error, printf style. Past a burst, lines of a second too
 // many are dropped and counted, and so are those that would have to wait for whoever reads them.
--- a/src/net/network.h
+++ b/src/net/network.h
@@ -9,7 +9,7 @@
 
 #include "address.h"
 #include "ids.h"
-#include "net/places.h"
+#include "net/slot_pool.h"
 
 namespace flintweir::net {
 
@@ -31,7 +31,7 @@
 
 class AcceptEvents {
  public:
-  virtual void connection_waits() = 0;  // once for each wait_accept()
+  virtual void connection_pending() = 0;  // once for each wait_accept()
 
  protected:
   ~AcceptEvents() = default;
@@ -39,37 +39,39 @@
 
 class DatagramEvents {
  public:
-  virtual void datagram_waits() = 0;  // once for each wait_datagram()
+  virtual void datagram_pending() = 0;  // once for each wait_datagram()
 
  protected:
   ~DatagramEvents() = default;
 };
 
-class Alarm {
+class AlarmEvents {
  public:
-  virtual void rang() = 0;
+  virtual void alarm_expired() = 0;
 
  protected:
-  ~Alarm() = default;
+  ~AlarmEvents() = default;
 };
 
-enum class Io { done, later, ended, broken };
+enum class IoStatus { done, would_block, closed, failed };
 
-struct Passed {
+struct IoResult {
   std::size_t bytes = 0;
-  Io how = Io::done;
+  IoStatus status = IoStatus::done;
 };
 
-struct Accepted {
+struct AcceptResult {
   SocketKey socket;
-  Io how = Io::done;  // later: nobody waits; ended: whoever connection_waits has gone again; broken: see why
-  const char* why = "";  // static text, or good until the next call
+  IoStatus status = IoStatus::done;  // would_block: nobody waits; closed: whoever connection_waits has gone
+                                     // again; failed: see error
+  const char* error = "";            // static text, or good until the next call
 };
 
-struct Received {
+struct ReceiveResult {
   std::size_t bytes = 0;
   Address from;
-  Io how = Io::done;  // later: nothing waits; broken: this one is lost, the next may be well
+  IoStatus status =
+      IoStatus::done;  // would_block: nothing waits; failed: this one is lost, the next may be well
 };
 
 class Network {
@@ -80,30 +82,31 @@
   virtual Micros now() const = 0;
   // Microseconds that go on while the machine sleeps, from any beginning: for leases, whose end comes all the
   // same.
-  virtual Micros ticking() const { return now(); }
+  virtual Micros now_including_suspend() const { return now(); }
   // One alarm for each network: a later call takes the place of an earlier one.
-  virtual void ring(Micros at, Alarm& whom) = 0;
+  virtual void set_alarm(Micros at, AlarmEvents& whom) = 0;
 
   // Listens at an address and tells where (port 0 takes a free one). Throws std::system_error.
   virtual Address listen(const Address& at) = 0;
   virtual void wait_accept(AcceptEvents& whom) = 0;
-  virtual Accepted accept() = 0;
+  virtual AcceptResult accept() = 0;
 
-  // Begins to connect; a key that is not live (turn 0) where no descriptor is left.
+  // Begins to connect; a key that is not live (generation 0) where no descriptor is left.
   virtual SocketKey connect(const Address& to, SocketEvents& whom) = 0;
-  virtual void tell(SocketKey socket, SocketEvents& whom) = 0;  // whom an accepted socket's events go to
+  virtual void set_events(SocketKey socket,
+                          SocketEvents& whom) = 0;  // whom an accepted socket's events go to
   virtual void wait_read(SocketKey socket) = 0;
   virtual void wait_write(SocketKey socket) = 0;
-  virtual Passed read(SocketKey socket, char* to, std::size_t size) = 0;
-  virtual Passed write(SocketKey socket, std::span<const std::string_view> parts) = 0;  // gathered
-  virtual void end_sending(SocketKey socket) = 0;
+  virtual IoResult read(SocketKey socket, char* to, std::size_t size) = 0;
+  virtual IoResult write(SocketKey socket, std::span<const std::string_view> parts) = 0;  // gathered
+  virtual void shutdown_send(SocketKey socket) = 0;
   virtual void close(SocketKey socket, bool reset) = 0;
 
   // Datagrams, at one address for each network. Any may be lost, late, doubled or spoilt: one that cannot be
   // sent is lost, which is no error. Throws std::system_error where it can't have the address.
   virtual Address open_datagrams(const Address& at) = 0;
   virtual void wait_datagram(DatagramEvents& whom) = 0;
-  virtual Received receive(char* to, std::size_t size) = 0;
+  virtual ReceiveResult receive(char* to, std::size_t size) = 0;
   virtual void send_datagram(const Address& to, std::string_view bytes) = 0;
 
   virtual void stop() = 0;  // ends the loop that calls all this
--- a/src/net/nowhere.h
+++ b/src/net/null_network.h
@@ -6,24 +6,24 @@
 
 namespace flintweir::net {
 
-class Nowhere : public Network {
+class NullNetwork : public Network {
  public:
   Micros now() const override { return Micros{0}; }
-  void ring(Micros, Alarm&) override {}
+  void set_alarm(Micros, AlarmEvents&) override {}
   Address listen(const Address& at) override { return at; }
   void wait_accept(AcceptEvents&) override {}
-  Accepted accept() override { return {{}, Io::later}; }
+  AcceptResult accept() override { return {{}, IoStatus::would_block}; }
   SocketKey connect(const Address&, SocketEvents&) override { return {}; }
-  void tell(SocketKey, SocketEvents&) override {}
+  void set_events(SocketKey, SocketEvents&) override {}
   void wait_read(SocketKey) override {}
   void wait_write(SocketKey) override {}
-  Passed read(SocketKey, char*, std::size_t) override { return {0, Io::broken}; }
-  Passed write(SocketKey, std::span<const std::string_view>) override { return {0, Io::broken}; }
-  void end_sending(SocketKey) override {}
+  IoResult read(SocketKey, char*, std::size_t) override { return {0, IoStatus::failed}; }
+  IoResult write(SocketKey, std::span<const std::string_view>) override { return {0, IoStatus::failed}; }
+  void shutdown_send(SocketKey) override {}
   void close(SocketKey, bool) override {}
   Address open_datagrams(const Address& at) override { return at; }
   void wait_datagram(DatagramEvents&) override {}
-  Received receive(char*, std::size_t) override { return {0, {}, Io::later}; }
+  ReceiveResult receive(char*, std::size_t) override { return {0, {}, IoStatus::would_block}; }
   void send_datagram(const Address&, std::string_view) override {}
   void stop() override {}
 };
--- a/src/net/sockets.h
+++ b/src/net/sockets.h
@@ -11,9 +11,9 @@
  public:
   Sockets(Network& network, std::size_t limit) : network_(network), limit_(limit) {}
   Network& network() { return network_; }
-  bool room(std::size_t spare) const { return used_ + spare < limit_; }
-  void took() { ++used_; }
-  void gave() { --used_; }
+  bool has_room(std::size_t spare) const { return used_ + spare < limit_; }
+  void count_opened() { ++used_; }
+  void count_closed() { --used_; }
 
  private:
   Network& network_;
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -7,23 +7,23 @@
 void Stream::adopt(SocketKey socket, StreamEvents& events) {
   close();
   socket_ = socket;
-  sockets_.took();
+  sockets_.count_opened();
   events_ = &events;
-  sockets_.network().tell(socket, *this);
+  sockets_.network().set_events(socket, *this);
 }
 
 bool Stream::connect(const Address& to, StreamEvents& events) {
   close();
   const SocketKey socket = sockets_.network().connect(to, *this);
-  if (socket.turn == 0) return false;
+  if (socket.generation == 0) return false;
   socket_ = socket;
-  sockets_.took();
+  sockets_.count_opened();
   events_ = &events;
   return true;
 }
 
 void Stream::want_read() {
-  if (!open() || reading_ || at_end_ || in_.full()) return;
+  if (!open() || reading_ || at_eof_ || input_.full()) return;
   reading_ = true;
   sockets_.network().wait_read(socket_);
 }
@@ -47,46 +47,46 @@
 }
 
 void Stream::read() {
-  const auto [to, size] = in_.room();
-  const Passed got = sockets_.network().read(socket_, to, size);
-  if (got.how == Io::later) return want_read();
-  if (got.how == Io::broken) return events_->broken(*this);
-  if (got.how == Io::ended) at_end_ = true;
-  in_.came(got.bytes);
-  events_->came(*this);
+  const auto [to, size] = input_.free_space();
+  const IoResult got = sockets_.network().read(socket_, to, size);
+  if (got.status == IoStatus::would_block) return want_read();
+  if (got.status == IoStatus::failed) return events_->broken(*this);
+  if (got.status == IoStatus::closed) at_eof_ = true;
+  input_.commit(got.bytes);
+  events_->input_ready(*this);
 }
 
-bool Stream::look() {
-  if (!open() || at_end_) return false;
-  if (in_.full()) return true;
-  const auto [to, size] = in_.room();
-  const Passed got = sockets_.network().read(socket_, to, size);
-  if (got.how == Io::ended) at_end_ = true;
-  in_.came(got.bytes);
-  return got.how == Io::done || got.how == Io::later;
+bool Stream::read_available() {
+  if (!open() || at_eof_) return false;
+  if (input_.full()) return true;
+  const auto [to, size] = input_.free_space();
+  const IoResult got = sockets_.network().read(socket_, to, size);
+  if (got.status == IoStatus::closed) at_eof_ = true;
+  input_.commit(got.bytes);
+  return got.status == IoStatus::done || got.status == IoStatus::would_block;
 }
 
 std::optional<std::size_t> Stream::write(std::span<const std::string_view> parts) {
-  if (!open() || shut_) return std::nullopt;
-  const Passed taken = sockets_.network().write(socket_, parts);
-  if (taken.how == Io::broken) return std::nullopt;
+  if (!open() || send_closed_) return std::nullopt;
+  const IoResult taken = sockets_.network().write(socket_, parts);
+  if (taken.status == IoStatus::failed) return std::nullopt;
   return taken.bytes;
 }
 
 std::optional<std::size_t> Stream::write(std::string_view text) { return write(std::span(&text, 1)); }
 
-void Stream::end_sending() {
-  if (!open() || std::exchange(shut_, true)) return;
-  sockets_.network().end_sending(socket_);
+void Stream::shutdown_send() {
+  if (!open() || std::exchange(send_closed_, true)) return;
+  sockets_.network().shutdown_send(socket_);
 }
 
 void Stream::close(bool reset) {
   if (open()) {
     sockets_.network().close(std::exchange(socket_, {}), reset);
-    sockets_.gave();
+    sockets_.count_closed();
   }
-  reading_ = writing_ = at_end_ = shut_ = false;
-  in_.clear();
+  reading_ = writing_ = at_eof_ = send_closed_ = false;
+  input_.clear();
 }
 
 }  // namespace flintweir::net
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -18,9 +18,9 @@
 class StreamEvents {
  public:
   virtual void connected(Stream&, ConnectResult) {}
-  virtual void came(Stream& stream) = 0;    // new bytes are in, or the other side has ended its sending
-  virtual void writable(Stream&) {}         // as asked for
-  virtual void broken(Stream& stream) = 0;  // reset or lost; the stream is still to be closed
+  virtual void input_ready(Stream& stream) = 0;  // new bytes are in, or the other side has ended its sending
+  virtual void writable(Stream&) {}              // as asked for
+  virtual void broken(Stream& stream) = 0;       // reset or lost; the stream is still to be closed
 
  protected:
   ~StreamEvents() = default;
@@ -36,25 +36,25 @@
 
   void adopt(SocketKey socket, StreamEvents& events);
   bool connect(const Address& to, StreamEvents& events);  // false: no descriptor
-  void hand_to(StreamEvents& events) { events_ = &events; }
+  void set_events(StreamEvents& events) { events_ = &events; }
 
-  bool open() const { return socket_.turn != 0; }
-  bool at_end() const { return at_end_; }  // the other side has ended its sending
-  bool shut() const { return shut_; }
-  LineBuffer& in() { return in_; }
+  bool open() const { return socket_.generation != 0; }
+  bool at_eof() const { return at_eof_; }  // the other side has ended its sending
+  bool send_closed() const { return send_closed_; }
+  LineBuffer& input() { return input_; }
 
   void want_read();
   void read();  // what is there at once, else when it comes
   // Takes in what is there without a callback; false: the other side has ended its sending, or the connection
   // is broken, as far as can be seen behind what is held.
-  bool look();
+  bool read_available();
   // A kept connection that may be asked again: open, not ended, and nothing on it that nobody asked for.
-  bool fit_to_ask() { return look() && in_.empty(); }
+  bool reusable() { return read_available() && input_.empty(); }
   void want_write();
   // What the kernel took of it; nothing where the connection is broken.
   std::optional<std::size_t> write(std::span<const std::string_view> parts);
   std::optional<std::size_t> write(std::string_view text);
-  void end_sending();
+  void shutdown_send();
   void close() { close(false); }
   void abort() { close(true); }  // with a reset
 
@@ -65,10 +65,10 @@
   void close(bool reset);
 
   Sockets& sockets_;
-  SocketKey socket_;  // turn 0: none
+  SocketKey socket_;  // generation 0: none
   StreamEvents* events_ = nullptr;
-  bool reading_ = false, writing_ = false, at_end_ = false, shut_ = false;
-  LineBuffer in_;
+  bool reading_ = false, writing_ = false, at_eof_ = false, send_closed_ = false;
+  LineBuffer input_;
 };
 
 }  // namespace flintweir::net
--- a/src/net/wakes.cpp
+++ b/src/net/timer_queue.cpp
@@ -1,22 +1,22 @@
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 
 #include <algorithm>
 
 namespace flintweir::net {
 
-void Wakes::after(Micros in, Woken& whom, std::uint64_t token) {
+void TimerQueue::schedule(Micros in, TimerEvents& whom, std::uint64_t token) {
   heap_.push_back({now() + std::max(in, Micros{0}), order_++, &whom, token});
   std::push_heap(heap_.begin(), heap_.end());
   if (!running_) arm();
 }
 
-void Wakes::arm() {
+void TimerQueue::arm() {
   if (heap_.empty() || heap_.front().at >= armed_) return;
   armed_ = heap_.front().at;
-  network_.ring(armed_, *this);
+  network_.set_alarm(armed_, *this);
 }
 
-void Wakes::rang() {
+void TimerQueue::alarm_expired() {
   armed_ = Micros::max();
   running_ = true;
   // What the woken add for now waits for the next turn, so that sockets get theirs in between.
@@ -26,7 +26,7 @@
     std::pop_heap(heap_.begin(), heap_.end());
     const Due due = heap_.back();
     heap_.pop_back();
-    due.whom->woken(due.token);
+    due.whom->timer_expired(due.token);
   }
   running_ = false;
   arm();
--- a/src/net/wakes.h
+++ b/src/net/timer_queue.h
@@ -8,31 +8,31 @@
 
 namespace flintweir::net {
 
-class Woken {
+class TimerEvents {
  public:
-  virtual void woken(std::uint64_t token) = 0;
+  virtual void timer_expired(std::uint64_t token) = 0;
 
  protected:
-  ~Woken() = default;
+  ~TimerEvents() = default;
 };
 
 // Wake-ups can't be taken back: whoever is woken knows by the token whether it still wants to be.
-class Wakes final : Alarm {
+class TimerQueue final : AlarmEvents {
  public:
-  explicit Wakes(Network& network) : network_(network) { heap_.reserve(4096); }
+  explicit TimerQueue(Network& network) : network_(network) { heap_.reserve(4096); }
   Micros now() const { return network_.now(); }
-  void after(Micros in, Woken& whom, std::uint64_t token);
+  void schedule(Micros in, TimerEvents& whom, std::uint64_t token);
 
  private:
   struct Due {
     Micros at;
     std::uint64_t order;  // of two due at the same time
-    Woken* whom;
+    TimerEvents* whom;
     std::uint64_t token;
     bool operator<(const Due& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
   void arm();
-  void rang() override;
+  void alarm_expired() override;
 
   Network& network_;
   std::vector<Due> heap_;
--- a/src/node/changing.cpp
+++ b/src/node/changing.cpp
@@ -18,7 +18,7 @@
   char head[80];
   std::snprintf(head, sizeof head, "flintweir-change 1 %llu %016llx\n",
                 static_cast<unsigned long long>(change.number.value),
-                static_cast<unsigned long long>(changes::which(change).sum));
+                static_cast<unsigned long long>(changes::change_id(change).checksum));
   return head + change.text;
 }
 
@@ -29,21 +29,22 @@
                                       "flintweir-change 1 %llu %llx", &number, &sum) != 2)
     return std::nullopt;
   changes::Change out{changes::ChangeNumber{number}, std::string(text.substr(end + 1))};
-  if (out.text.size() > changes::kLongestText || changes::which(out).sum != sum) return std::nullopt;
+  if (out.text.size() > changes::kMaxTextBytes || changes::change_id(out).checksum != sum)
+    return std::nullopt;
   return out;
 }
 
-Changing::Changing(net::Network& network, net::Wakes& wakes, members::View& view,
+Changing::Changing(net::Network& network, net::TimerQueue& timers, members::View& view,
                    const setup::FleetSection& fleet, const setup::ChangesSection& changes, std::string name,
                    std::uint64_t seed, std::function<std::string(const changes::Change&)> take)
     : network_(network),
-      wakes_(wakes),
+      timers_(timers),
       view_(view),
       seeds_(fleet.seeds),
       take_(std::move(take)),
       folder_(changes.folder),
       disk_(changes.folder),
-      carrier_(*this, fleet.name, std::move(name), fleet.told, seed) {
+      replicator_(*this, fleet.name, std::move(name), fleet.advertised, seed) {
   if (folder_.empty()) return;
   // A file that is spoilt is as good as none: members have the newest.
   for (const char* name : {kInForce, kRefused}) {
@@ -52,27 +53,27 @@
     auto kept = of_file(*text);
     if (!kept)
       net::log_line("change: the file %s in %s is not whole, left alone", name, folder_.c_str());
-    else if (kept_.empty() || which(*kept) > which(kept_.back()))
+    else if (kept_.empty() || change_id(*kept) > change_id(kept_.back()))
       kept_.push_back(std::move(*kept));
   }
 }
 
 void Changing::begin() {
-  carrier_.at(wakes_.now());
-  carrier_.begin(std::exchange(kept_, {}), seeds_);
+  replicator_.set_time(timers_.now());
+  replicator_.start(std::exchange(kept_, {}), seeds_);
 }
 
 void Changing::received(const Address& from, std::string_view bytes) {
-  carrier_.at(wakes_.now());
-  carrier_.received(from, bytes);
+  replicator_.set_time(timers_.now());
+  replicator_.on_datagram(from, bytes);
 }
 
-void Changing::woken(std::uint64_t token) {
-  carrier_.at(wakes_.now());
-  carrier_.woken(TimerId{token});
+void Changing::timer_expired(std::uint64_t token) {
+  replicator_.set_time(timers_.now());
+  replicator_.timer_expired(TimerId{token});
 }
 
-void Changing::keep(const changes::Change& change, bool in_force) {
+void Changing::persist(const changes::Change& change, bool in_force) {
   if (folder_.empty()) return;
   const std::string name = in_force ? kInForce : kRefused, beside = name + ".new";
   if (!disk_.write(beside, to_file(change)) || !disk_.rename(beside, name) || !disk_.sync_folder())
@@ -80,14 +81,14 @@
                   static_cast<unsigned long long>(change.number.value), folder_.c_str());
 }
 
-void Changing::known(const changes::Status& now, std::string_view from) {
-  const auto number = static_cast<unsigned long long>(now.has.newest.number.value);
+void Changing::on_status_change(const changes::Status& now, std::string_view from) {
+  const auto number = static_cast<unsigned long long>(now.held.newest.number.value);
   const int size = static_cast<int>(from.size());
   if (now.reason.empty())
     net::log_line("change number=%llu in force from=%.*s", number, size, from.data());
   else
     net::log_line("change number=%llu refused, in_force=%llu from=%.*s why=\"%s\"", number,
-                  static_cast<unsigned long long>(now.has.in_force.number.value), size, from.data(),
+                  static_cast<unsigned long long>(now.held.in_force.number.value), size, from.data(),
                   now.reason.c_str());
 }
 
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -37,12 +37,12 @@
 }
 
 void Discovery::switch_to(const Address& at) {
-  if (at == get_.at()) {
-    clock_.configuration_reread(wakes_.now());
+  if (at == get_.server()) {
+    clock_.configuration_reread(timers_.now());
   } else {
-    clock_.service_switched(wakes_.now());
+    clock_.service_switched(timers_.now());
   }
-  get_.switch_to(at);
+  get_.set_server(at);
   version_.reset();
   watching_ = true;
   ++turn_;
@@ -59,7 +59,7 @@
   // sends nothing for as long as nothing changes.
   const bool at_once = !version_ || clock_.is_catching_up();
   const std::chrono::milliseconds wait(at_once ? 0 : part(chance_));
-  clock_.request_sent(wakes_.now(), wait);
+  clock_.request_sent(timers_.now(), wait);
   update_staleness();
   log_line("list: asked for %s", version_ ? ("changes since " + std::to_string(*version_)).c_str() : "all");
   const Micros slack = at_once ? kAnswerWithin : kWatchSlack;
@@ -69,9 +69,9 @@
 }
 
 void Discovery::update_staleness() {
-  const Micros now = wakes_.now();
+  const Micros now = timers_.now();
   const Micros stale_from = clock_.stale_from();
-  if (stale_from > now) wakes_.after(stale_from - now, *this, token(Due::stale));
+  if (stale_from > now) timers_.schedule(stale_from - now, *this, token(Due::stale));
   const bool stale = stale_from <= now;
   if (stale == std::exchange(stale_, stale)) return;
   if (stale) {
@@ -83,7 +83,7 @@
   }
 }
 
-void Discovery::http_answered(unsigned status, std::string& body) {
+void Discovery::http_response(unsigned status, std::string& body) {
   using Failure = StalenessClock::Failure;
   simdjson::dom::element list;
   if (status != 200) {
@@ -119,9 +119,9 @@
 void Discovery::failed(StalenessClock::Failure how) {
   using Failure = StalenessClock::Failure;
   const bool first = !clock_.is_catching_up();
-  clock_.request_failed(wakes_.now(), how);
+  clock_.request_failed(timers_.now(), how);
   update_staleness();
-  const Micros told_in = clock_.stale_from() - wakes_.now();
+  const Micros told_in = clock_.stale_from() - timers_.now();
   log_line("list: not heard; may count as told in %lld ms",
            static_cast<long long>(std::chrono::duration_cast<std::chrono::milliseconds>(told_in).count()));
   // A watch that has fallen silent, or whose answer broke off, has kept something back: the whole list, and
@@ -133,20 +133,20 @@
 
 void Discovery::retry_later() {
   if (agent_again_)
-    wakes_.after(*agent_again_, *this, token(Due::again));
+    timers_.schedule(*agent_again_, *this, token(Due::again));
   else {
     watching_ = false;
     told_.balancer_now().list_failed();
     // The module's pauses double. Guards against one that lasts until what came meanwhile counts as told. No
     // two nodes ask in the same moment.
     std::uniform_int_distribution<std::int64_t> sooner(0, StalenessClock::kAfterWait / 2us);
-    const Micros in = clock_.request_by() - wakes_.now() - Micros{sooner(chance_)};
-    if (in > 0us) wakes_.after(std::max(in, kShortestPause), *this, token(Due::in_time));
+    const Micros in = clock_.request_by() - timers_.now() - Micros{sooner(chance_)};
+    if (in > 0us) timers_.schedule(std::max(in, kShortestPause), *this, token(Due::in_time));
   }
   if (!std::exchange(spoken_, true)) told_.first_word();
 }
 
-void Discovery::woken(std::uint64_t t) {
+void Discovery::timer_expired(std::uint64_t t) {
   if (t == token(Due::again)) ask();
   if (t == token(Due::in_time)) watch();
   if (t == token(Due::stale)) update_staleness();
@@ -173,9 +173,9 @@
     if (o["capacity_hint"].get(share)) share = 1;
     if (o["boot_ms"].get(boot_ms)) boot_ms = 0;
     if (!(boot_ms >= 0 && boot_ms < 1e15)) return false;
-    entry(HostId{setup::id_of(uid)}, uid, at.value_or(Address()), ZoneId{static_cast<std::uint32_t>(zone_no)},
-          CellId{static_cast<std::uint32_t>(cell)}, *standing, share,
-          Micros{static_cast<std::int64_t>(boot_ms * 1000)});
+    entry(HostId{setup::hash_name(uid)}, uid, at.value_or(Address()),
+          ZoneId{static_cast<std::uint32_t>(zone_no)}, CellId{static_cast<std::uint32_t>(cell)}, *standing,
+          share, Micros{static_cast<std::int64_t>(boot_ms * 1000)});
   }
   return true;
 }
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -15,7 +15,7 @@
 using namespace net;
 using namespace line;
 
-class Discovery final : HttpGet::Told, Woken {
+class Discovery final : HttpGet::Events, TimerEvents {
  public:
   class Told {
    public:
@@ -25,22 +25,22 @@
    protected:
     ~Told() = default;
   };
-  Discovery(Sockets& sockets, Wakes& wakes, const Address& at, std::vector<std::string> zones,
+  Discovery(Sockets& sockets, TimerQueue& timers, const Address& at, std::vector<std::string> zones,
             HostTable& hosts, std::optional<Micros> agent_again, Micros outage, std::uint64_t seed,
             Told& told)
-      : get_(sockets, wakes, at, *this),
+      : get_(sockets, timers, at, *this),
         zones_(std::move(zones)),
         hosts_(hosts),
         agent_again_(agent_again),
         chance_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> 32))),
-        wakes_(wakes),
+        timers_(timers),
         told_(told),
         clock_(outage) {}
 
   // Takes a list in discovery's form; false, with nothing changed, where it is malformed.
   bool take(const simdjson::dom::element& list);
   // From now on this node sends by the list it has.
-  void begin() { clock_.started(wakes_.now()); }
+  void begin() { clock_.started(timers_.now()); }
   // `fresh`: a whole list first, whatever is known.
   void watch(bool fresh = false);
   // Asks there from now on, at once and for a whole list: its versions have nothing to do with those so far.
@@ -49,9 +49,9 @@
  private:
   enum class Due : std::uint64_t { again, in_time, stale };
   std::uint64_t token(Due due) const { return turn_ << 2 | static_cast<std::uint64_t>(due); }
-  void http_answered(unsigned status, std::string& body) override;
+  void http_response(unsigned status, std::string& body) override;
   void http_failed(const char* why, RequestFailure how) override;
-  void woken(std::uint64_t token) override;
+  void timer_expired(std::uint64_t token) override;
   void ask();
   void failed(StalenessClock::Failure how);
   void retry_later();
@@ -68,7 +68,7 @@
   // pause, as whatever it has counts as told.
   std::optional<Micros> agent_again_;
   std::knuth_b chance_;
-  Wakes& wakes_;
+  TimerQueue& timers_;
   Told& told_;
   StalenessClock clock_;
   simdjson::dom::parser parser_;
--- a/src/node/holder.cpp
+++ b/src/node/holder.cpp
@@ -48,11 +48,11 @@
   return it == voters_.end() ? std::nullopt : std::optional(static_cast<std::size_t>(it - voters_.begin()));
 }
 
-Holder::Holder(net::Network& network, net::Wakes& wakes, const setup::OperatorFile& own, std::string lease,
-               std::string who, const Address& here, std::optional<Address> told, std::uint64_t seed,
-               Told& whom)
+Holder::Holder(net::Network& network, net::TimerQueue& timers, const setup::OperatorFile& own,
+               std::string lease, std::string who, const Address& here, std::optional<Address> told,
+               std::uint64_t seed, Told& whom)
     : network_(network),
-      wakes_(wakes),
+      timers_(timers),
       who_(std::move(who)),
       here_(here),
       told_(told),
@@ -60,7 +60,7 @@
       whom_(whom),
       places_(network, *own.fleet, own.leases->voters, seed),
       seeker_(*this, std::move(lease), own.leases->voters.size(), own.leases->length,
-              Token{static_cast<std::uint64_t>(wakes.now().count())}, seed) {}
+              Token{static_cast<std::uint64_t>(timers.now().count())}, seed) {}
 
 void Holder::begin() {
   here_ = network_.open_datagrams(here_);
@@ -70,7 +70,7 @@
 }
 
 Candidate& Holder::seeker() {
-  seeker_.set_time(network_.ticking());
+  seeker_.set_time(network_.now_including_suspend());
   return seeker_;
 }
 
@@ -81,21 +81,21 @@
                VoterPlaces& places) {
   char bytes[members::kMaxDatagramBytes + 1];
   for (;;) {
-    const net::Received got = network.receive(bytes, sizeof bytes);
-    if (got.how == net::Io::later) break;
-    if (got.how != net::Io::done) continue;
+    const net::ReceiveResult got = network.receive(bytes, sizeof bytes);
+    if (got.status == net::IoStatus::would_block) break;
+    if (got.status != net::IoStatus::done) continue;
     const std::string_view text(bytes, got.bytes);
     is_lease_datagram(text) ? void(decode(text, hearer)) : void(places.received(got.from, text));
   }
   network.wait_datagram(whom);
 }
 
-void Holder::datagram_waits() { hear_post(network_, *this, *this, places_); }
+void Holder::datagram_pending() { hear_post(network_, *this, *this, places_); }
 
-void Holder::woken(std::uint64_t token) {
+void Holder::timer_expired(std::uint64_t token) {
   if (token != look_for_voters) return seeker().timer_expired(TimerId{token});
   places_.ask();
-  wakes_.after(places_.all() ? kLooksAgain : kLooks, *this, look_for_voters);
+  timers_.schedule(places_.all() ? kLooksAgain : kLooks, *this, look_for_voters);
 }
 
 void Holder::send_request(VoterIndex voter, const Request& request) {
--- a/src/node/holder.h
+++ b/src/node/holder.h
@@ -12,7 +12,7 @@
 #include "leases/datagram.h"
 #include "members/view_query.h"
 #include "net/network.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 #include "setup/operator.h"
 
 namespace flintweir::node {
@@ -44,7 +44,10 @@
 void hear_post(net::Network& network, net::DatagramEvents& whom, leases::DatagramHandler& hearer,
                VoterPlaces& places);
 
-class Holder final : net::DatagramEvents, net::Woken, leases::DatagramHandler, leases::Candidate::Delegate {
+class Holder final : net::DatagramEvents,
+                     net::TimerEvents,
+                     leases::DatagramHandler,
+                     leases::Candidate::Delegate {
  public:
   class Told {
    public:
@@ -56,7 +59,7 @@
     ~Told() = default;
   };
   // `who`: its name and start. `here`: where it hears; `told`: what voters answer to, the same if left out.
-  Holder(net::Network& network, net::Wakes& wakes, const setup::OperatorFile& own, std::string lease,
+  Holder(net::Network& network, net::TimerQueue& timers, const setup::OperatorFile& own, std::string lease,
          std::string who, const Address& here, std::optional<Address> told, std::uint64_t seed, Told& whom);
   void begin();  // throws std::system_error where it can't have its address
   void let_go();
@@ -65,10 +68,10 @@
 
  private:
   enum Due : std::uint64_t { look_for_voters = ~0ull };
-  void datagram_waits() override;
-  void woken(std::uint64_t token) override;
+  void datagram_pending() override;
+  void timer_expired(std::uint64_t token) override;
   void send_request(leases::VoterIndex voter, const leases::Request& request) override;
-  void set_timer(Micros delay, TimerId timer) override { wakes_.after(delay, *this, timer.value); }
+  void set_timer(Micros delay, TimerId timer) override { timers_.schedule(delay, *this, timer.value); }
   void on_acquired(leases::Token token) override { whom_.held(token); }
   void on_lost(leases::Token token, std::string_view why) override { whom_.lost(token, why); }
   void on_waiting(std::string_view why) override { whom_.waits(why); }
@@ -76,7 +79,7 @@
   leases::Candidate& seeker();  // at the present time
 
   net::Network& network_;
-  net::Wakes& wakes_;
+  net::TimerQueue& timers_;
   std::string who_;
   Address here_;
   std::optional<Address> told_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "net/log.h"
-#include "net/nowhere.h"
+#include "net/null_network.h"
 #include "plain_text.h"
 #include "setup/deployment.h"
 
@@ -25,53 +25,55 @@
 constexpr Micros kShortestOutage = 10s;
 constexpr int kAcceptsInARow = 8;  // so that those taken get their hosts before the next take the descriptors
 
-std::vector<Micros> listener_times(const setup::Values& settings, std::string_view key) {
+std::vector<Micros> listener_times(const setup::JsonObject& settings, std::string_view key) {
   std::vector<Micros> times;
-  for (const auto e : settings.row("listeners")) times.push_back(setup::Values(e, "a listener").time(key));
-  if (times.empty()) setup::bad("settings.listeners is empty");
+  for (const auto e : settings.array("listeners"))
+    times.push_back(setup::JsonObject(e, "a listener").time(key));
+  if (times.empty()) setup::throw_invalid_input("settings.listeners is empty");
   return times;
 }
 
 Micros longest(const std::vector<Micros>& times) { return *std::max_element(times.begin(), times.end()); }
 
 // What messages may take, where delays are the module's to know.
-Micros message_target(const setup::Values& settings) {
+Micros message_target(const setup::JsonObject& settings) {
   if (!settings.has("familyInfo")) return 0us;
-  if (!setup::Values(settings, "familyInfo").yes("tellsDelay")) return 0us;
-  return shortest_message_target(setup::listeners(settings));
+  if (!setup::JsonObject(settings, "familyInfo").flag("tellsDelay")) return 0us;
+  return shortest_message_target(setup::read_listeners(settings));
 }
 
-OpenLineParser open_line_parser(const setup::Values& settings) {
-  const bool groups = settings.has("familyInfo") && setup::Values(settings, "familyInfo").yes("groups");
-  return {setup::names(settings, "listeners"), listener_times(settings, "dialTimeout"), groups};
+OpenLineParser open_line_parser(const setup::JsonObject& settings) {
+  const bool groups = settings.has("familyInfo") && setup::JsonObject(settings, "familyInfo").flag("groups");
+  return {setup::read_names(settings, "listeners"), listener_times(settings, "dialTimeout"), groups};
 }
 
-Timeouts timeouts(const setup::Values& settings) {
+Timeouts timeouts(const setup::JsonObject& settings) {
   const std::vector<Micros> targets = listener_times(settings, "handshakeTarget");
   const Micros target = *std::min_element(targets.begin(), targets.end());
-  return {setup::Values(settings, "ceilings").time("connectTimeout", target / 4),
+  return {setup::JsonObject(settings, "ceilings").time("connectTimeout", target / 4),
           std::min(longest(listener_times(settings, "dialTimeout")), kFirstLine), target / 2,
-          setup::longest_stay_away(settings)};
+          setup::read_max_retry_after(settings)};
 }
 
-bool pushed(const setup::Values& settings) { return settings.text("discovery", "") == "pushed"; }
+bool pushed(const setup::JsonObject& settings) { return settings.text("discovery", "") == "pushed"; }
 
 // Whatever an agent has counts as told, watch or no watch: it is asked again well within the grace of a
 // drain.
-std::optional<Micros> agent_again(const setup::Values& settings) {
+std::optional<Micros> agent_again(const setup::JsonObject& settings) {
   if (!pushed(settings)) return std::nullopt;
-  return std::clamp<Micros>(setup::Values(settings, "rules").time("drainGrace") / 4, 10ms, 1s);
+  return std::clamp<Micros>(setup::JsonObject(settings, "rules").time("drainGrace") / 4, 10ms, 1s);
 }
 
 // For how long calls for the list have to fail until they are taken for an outage.
-Micros outage_threshold(const setup::Values& settings) {
-  return std::max<Micros>(kOutageIntervals * setup::Values(settings, "rules").time("askEvery"),
+Micros outage_threshold(const setup::JsonObject& settings) {
+  return std::max<Micros>(kOutageIntervals * setup::JsonObject(settings, "rules").time("askEvery"),
                           kShortestOutage);
 }
 
 std::size_t socket_limit(const NodeFile& file) {
   if (file.sockets() < 4 * kOwnDescriptors) {
-    setup::bad("configuration: limits.sockets is under " + std::to_string(4 * kOwnDescriptors));
+    setup::throw_invalid_input("configuration: limits.sockets is under " +
+                               std::to_string(4 * kOwnDescriptors));
   }
   return file.sockets() - kOwnDescriptors;
 }
@@ -91,28 +93,30 @@
       sockets_(network, socket_limit(file)),
       longest_dial_(longest(listener_times(file.settings(), "dialTimeout"))),
       pushed_(pushed(file.settings())),
-      sessions_(sockets_, wakes_, hosts_, timeouts(file.settings()), message_target(file.settings()),
+      sessions_(sockets_, timers_, hosts_, timeouts(file.settings()), message_target(file.settings()),
                 open_line_parser(file.settings()), most_sessions(file), socket_limit(file) / kIdleShare,
                 *this),
-      discovery_(sockets_, wakes_, file.discovery(), setup::names(file.settings(), "failureDomains"), hosts_,
-                 agent_again(file.settings()), outage_threshold(file.settings()), file.seed(), *this),
-      own_(setup::running_of(file.settings())),
-      listener_names_(setup::names(file.settings(), "listeners")),
+      discovery_(sockets_, timers_, file.discovery(), setup::read_names(file.settings(), "failureDomains"),
+                 hosts_, agent_again(file.settings()), outage_threshold(file.settings()), file.seed(), *this),
+      own_(setup::read_runtime_settings(file.settings())),
+      listener_names_(setup::read_names(file.settings(), "listeners")),
       own_discovery_(file.discovery()),
       discovery_at_(own_discovery_) {
   sessions_.set_balancer(make(file.settings(), sessions_, file.seed()));
   if (const auto known = file.known(); known && !discovery_.take(*known)) {
-    setup::bad("configuration: known is not a list of hosts");
+    setup::throw_invalid_input("configuration: known is not a list of hosts");
   }
   sessions_.balancer_now();
 }
 
 void Node::join(const setup::OperatorFile& own, std::string name, std::string version, std::uint64_t seed) {
-  if (name.empty()) setup::bad("configuration: name is missing, which the operator's [fleet] needs");
+  if (name.empty())
+    setup::throw_invalid_input("configuration: name is missing, which the operator's [fleet] needs");
   if (name.size() > members::kMaxNameBytes || !is_plain(name))
-    setup::bad("configuration: name '" + name +
-               "' is over 64 characters or not all printable ASCII without blanks and quotes");
-  peers_ = std::make_unique<Peers>(network_, wakes_, *own.fleet, name, std::move(version), seed,
+    setup::throw_invalid_input(
+        "configuration: name '" + name +
+        "' is over 64 characters or not all printable ASCII without blanks and quotes");
+  peers_ = std::make_unique<Peers>(network_, timers_, *own.fleet, name, std::move(version), seed,
                                    [this](unsigned nodes) { balancer_now().set_node_count(nodes); });
   leases_ = own.leases;
   if (leases_) peers_->vote(*leases_);
@@ -122,8 +126,8 @@
 
 std::string Node::take(const changes::Change& change) {
   std::vector<std::string> wrong;
-  const auto text = setup::ChangeText::of_text(change.text, "change", wrong);
-  setup::Running running = setup::changed(own_, listener_names_, text, wrong);
+  const auto text = setup::ConfigChange::parse(change.text, "change", wrong);
+  setup::RuntimeSettings running = setup::apply_change(own_, listener_names_, text, wrong);
   if (!wrong.empty()) return wrong.front();
   sessions_.balancer_now().update_settings(std::move(running.listeners), running.dials.max_dials,
                                            running.prices);
@@ -147,7 +151,7 @@
   if (!pushed_) return open();
   // What the agent has counts as told from the first moment on: clients wait until it is known.
   discovery_.watch(true);
-  wakes_.after(kFirstWord, *this, take_clients);
+  timers_.schedule(kFirstWord, *this, take_clients);
 }
 
 void Node::open() {
@@ -157,8 +161,8 @@
 void Node::reload(const std::function<Files()>& read) {
   try {
     const auto [file, own] = read();
-    Nowhere nowhere;
-    const Node as_at_a_start(nowhere, *file);
+    NullNetwork null_network;
+    const Node as_at_a_start(null_network, *file);
     const Address at = file->discovery_of_file();
     own_discovery_ = at;
     if (changed_discovery_)
@@ -181,14 +185,15 @@
 
 bool Node::accept() {
   for (int i = 0; i < kAcceptsInARow; ++i) {
-    const bool room = sockets_.room(1) || sessions_.evict_idle_client();
-    const Accepted next = room ? network_.accept() : Accepted{{}, Io::broken, "too many open sockets"};
-    if (next.how == Io::later) return network_.wait_accept(*this), false;
-    if (next.how == Io::ended) continue;
-    if (next.how == Io::broken) {
+    const bool room = sockets_.has_room(1) || sessions_.evict_idle_client();
+    const AcceptResult next =
+        room ? network_.accept() : AcceptResult{{}, IoStatus::failed, "too many open sockets"};
+    if (next.status == IoStatus::would_block) return network_.wait_accept(*this), false;
+    if (next.status == IoStatus::closed) continue;
+    if (next.status == IoStatus::failed) {
       // Those that wait are taken as soon as others have gone.
-      log_line("accept: %s", next.why);
-      return wakes_.after(10ms, *this, accept_again), false;
+      log_line("accept: %s", next.error);
+      return timers_.schedule(10ms, *this, accept_again), false;
     }
     sessions_.add_client(next.socket);
   }
@@ -196,7 +201,7 @@
   return true;
 }
 
-void Node::woken(std::uint64_t due) {
+void Node::timer_expired(std::uint64_t due) {
   if (due == take_clients) return open();
   if (due == accept_again) return void(accept());
   // Guards against clients left without an answer that connection_waits while this node had no time for them.
@@ -214,7 +219,7 @@
   log_line("leaving: moving all sessions");
   if (peers_) peers_->leave();
   sessions_.shut_down(longest_dial_ / 2);
-  wakes_.after(longest_dial_ + kKilled - kEndsBefore, *this, left);
+  timers_.schedule(longest_dial_ + kKilled - kEndsBefore, *this, left);
 }
 
 }  // namespace flintweir::node
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -7,7 +7,7 @@
 #include "node/discovery.h"
 #include "node/node_file.h"
 #include "node/peers.h"
-#include "setup/change_text.h"
+#include "setup/config_change.h"
 #include "setup/deployment.h"
 
 namespace flintweir::node {
@@ -15,14 +15,14 @@
 using namespace net;
 using namespace line;
 
-using MakeBalancer = std::function<std::unique_ptr<Balancer>(const setup::Values& settings,
+using MakeBalancer = std::function<std::unique_ptr<Balancer>(const setup::JsonObject& settings,
                                                              BalancerActions& outlet, std::uint64_t seed)>;
 
-class Node final : Sessions::Events, Discovery::Told, Woken, AcceptEvents {
+class Node final : Sessions::Events, Discovery::Told, TimerEvents, AcceptEvents {
  public:
-  // Reads all of the file and makes the parts, but serves nobody. Throws setup::BadInput.
-  Node(Network& network, const NodeFile& file, MakeBalancer make = setup::balancer_for);
-  // Will speak to the other nodes of the fleet from serve() on. Throws setup::BadInput.
+  // Reads all of the file and makes the parts, but serves nobody. Throws setup::InvalidInput.
+  Node(Network& network, const NodeFile& file, MakeBalancer make = setup::create_balancer);
+  // Will speak to the other nodes of the fleet from serve() on. Throws setup::InvalidInput.
   void join(const setup::OperatorFile& own, std::string name, std::string version, std::uint64_t seed);
   // From now on takes clients, on the network's loop. Throws std::system_error where it can't listen.
   void serve();
@@ -37,8 +37,8 @@
   enum Due : std::uint64_t { accept_again, take_clients, left };
   void watch_host_list() override { discovery_.watch(); }
   Balancer& balancer_now() override { return sessions_.balancer_now(); }
-  void woken(std::uint64_t due) override;
-  void connection_waits() override { accept(); }
+  void timer_expired(std::uint64_t due) override;
+  void connection_pending() override { accept(); }
   void first_word() override { open(); }
   // A change whole, or nothing of it and why not.
   std::string take(const changes::Change& change);
@@ -49,7 +49,7 @@
   Network& network_;
   Address listen_;
   Sockets sockets_;
-  Wakes wakes_{network_};
+  TimerQueue timers_{network_};
   HostTable hosts_;
   Micros longest_dial_;
   bool pushed_, open_ = false, leaving_ = false;  // pushed: an agent at this node has the list
@@ -59,7 +59,7 @@
   std::optional<setup::LeasesSection> leases_;  // none without the operator's word
   std::optional<setup::ChangesSection> changes_;
   // As the file has it at the start; changes are laid over that.
-  setup::Running own_;
+  setup::RuntimeSettings own_;
   std::vector<std::string> listener_names_;
   Address own_discovery_, discovery_at_;
   std::optional<Address> changed_discovery_;
--- a/src/node/node_file.cpp
+++ b/src/node/node_file.cpp
@@ -8,7 +8,7 @@
 simdjson::dom::element load(simdjson::dom::parser& parser, const std::string& path) {
   simdjson::dom::element e;
   if (const auto error = parser.load(path).get(e)) {
-    setup::bad("configuration '" + path + "': " + simdjson::error_message(error));
+    setup::throw_invalid_input("configuration '" + path + "': " + simdjson::error_message(error));
   }
   return e;
 }
@@ -25,7 +25,7 @@
           [&] {
             simdjson::dom::element e;
             if (const auto error = parser_.parse(text.data(), text.size()).get(e)) {
-              setup::bad(std::string("configuration: ") + simdjson::error_message(error));
+              setup::throw_invalid_input(std::string("configuration: ") + simdjson::error_message(error));
             }
             return e;
           }(),
@@ -34,16 +34,20 @@
 Address NodeFile::address(const char* key, const std::string& given) const {
   const std::string text = given.empty() ? std::string(whole_.text(key, "")) : given;
   const auto at = address_of(text);
-  if (!at) setup::bad("configuration: " + std::string(key) + " '" + text + "' is not an address with a port");
+  if (!at)
+    setup::throw_invalid_input("configuration: " + std::string(key) + " '" + text +
+                               "' is not an address with a port");
   return *at;
 }
 
-std::uint64_t NodeFile::seed() const { return setup::key_of(whole_.text("seed", "")); }
-std::size_t NodeFile::sockets() const { return setup::Values(whole_, "limits").number("sockets", 1024); }
-std::size_t NodeFile::memory_mb() const { return setup::Values(whole_, "limits").number("memory_mb", 192); }
+std::uint64_t NodeFile::seed() const { return setup::parse_key(whole_.text("seed", "")); }
+std::size_t NodeFile::sockets() const { return setup::JsonObject(whole_, "limits").number("sockets", 1024); }
+std::size_t NodeFile::memory_mb() const {
+  return setup::JsonObject(whole_, "limits").number("memory_mb", 192);
+}
 
 std::optional<simdjson::dom::element> NodeFile::known() const {
-  return whole_.has("known") ? std::optional(whole_.need("known")) : std::nullopt;
+  return whole_.has("known") ? std::optional(whole_.required("known")) : std::nullopt;
 }
 
 }  // namespace flintweir::node
--- a/src/node/node_file.h
+++ b/src/node/node_file.h
@@ -7,14 +7,14 @@
 #include <string>
 
 #include "address.h"
-#include "setup/values.h"
+#include "setup/json_object.h"
 
 namespace flintweir::node {
 
 // Reads the file, and keeps it: settings and the known list are looked at in place.
 class NodeFile {
  public:
-  // An address given here goes before the file's; empty: none is. Throws setup::BadInput.
+  // An address given here goes before the file's; empty: none is. Throws setup::InvalidInput.
   explicit NodeFile(const std::string& path, std::string listen = "", std::string discovery = "");
   // The same of a file's text.
   static std::unique_ptr<NodeFile> of_text(std::string_view text) {
@@ -28,7 +28,7 @@
   std::uint64_t seed() const;
   std::size_t sockets() const;
   std::size_t memory_mb() const;
-  setup::Values settings() const { return {whole_.need("settings"), "settings"}; }
+  setup::JsonObject settings() const { return {whole_.required("settings"), "settings"}; }
   std::optional<simdjson::dom::element> known() const;
 
  private:
@@ -37,7 +37,7 @@
 
   std::string listen_, discovery_;
   simdjson::dom::parser parser_;
-  setup::Values whole_;
+  setup::JsonObject whole_;
 };
 
 }  // namespace flintweir::node
