--- a/src/node/peers.cpp
+++ b/src/node/peers.cpp
@@ -14,27 +14,28 @@
 
 }  // namespace
 
-Peers::Peers(Network& network, Wakes& wakes, const setup::FleetSection& fleet, std::string name,
+Peers::Peers(Network& network, TimerQueue& timers, const setup::FleetSection& fleet, std::string name,
              std::string version, std::uint64_t seed, std::function<void(unsigned)> count)
     : network_(network),
-      wakes_(wakes),
+      timers_(timers),
       fleet_(fleet),
       name_(name),
       count_(std::move(count)),
       seed_(seed),
       view_(*this, fleet.name, std::move(name),
-            members::Generation{static_cast<std::uint64_t>(wakes.now().count())}, fleet.told, fleet.zone,
-            std::move(version), fleet.seeds, fleet.interval, fleet.forget, fleet.most, seed) {}
+            members::Generation{static_cast<std::uint64_t>(timers.now().count())}, fleet.advertised,
+            fleet.zone, std::move(version), fleet.seeds, fleet.probe_interval, fleet.forget_after,
+            fleet.max_members, seed) {}
 
 void Peers::begin() {
   const Address at = network_.open_datagrams(fleet_.address);
   log_line("fleet: %s at %s told=%s name=%s", fleet_.name.c_str(), to_text(at).c_str(),
-           to_text(fleet_.told).c_str(), name_.c_str());
+           to_text(fleet_.advertised).c_str(), name_.c_str());
   network_.wait_datagram(*this);
   if (leases_)
-    voting_ = std::make_unique<Voting>(network_, *leases_, name_, fleet_.told,
-                                       static_cast<std::uint64_t>(wakes_.now().count()));
-  view_.set_time(wakes_.now());
+    voting_ = std::make_unique<Voting>(network_, *leases_, name_, fleet_.advertised,
+                                       static_cast<std::uint64_t>(timers_.now().count()));
+  view_.set_time(timers_.now());
   view_.start();
   if (changing_) changing_->begin();
 }
@@ -45,7 +46,7 @@
 
 void Peers::carry(const setup::ChangesSection& changes,
                   std::function<std::string(const changes::Change&)> take) {
-  changing_ = std::make_unique<Changing>(network_, wakes_, view_, fleet_, changes, name_, mix(seed_),
+  changing_ = std::make_unique<Changing>(network_, timers_, view_, fleet_, changes, name_, mix(seed_),
                                          std::move(take));
 }
 
@@ -54,24 +55,24 @@
   with_seeds.seeds = fleet.seeds;
   if (fleet != with_seeds) log_line("reload: fleet: all but the seeds holds until the next start");
   fleet_.seeds = fleet.seeds;
-  view_.set_time(wakes_.now());
+  view_.set_time(timers_.now());
   view_.set_seeds(fleet.seeds);
 }
 
 void Peers::leave() {
-  view_.set_time(wakes_.now());
+  view_.set_time(timers_.now());
   view_.leave();
 }
 
-void Peers::datagram_waits() {
+void Peers::datagram_pending() {
   char bytes[members::kMaxDatagramBytes + 1];
-  view_.set_time(wakes_.now());
+  view_.set_time(timers_.now());
   for (int i = 0; i < kDatagramsInARow; ++i) {
-    const Received got = network_.receive(bytes, sizeof bytes);
-    if (got.how == Io::later) break;
-    if (got.how != Io::done) continue;
+    const ReceiveResult got = network_.receive(bytes, sizeof bytes);
+    if (got.status == IoStatus::would_block) break;
+    if (got.status != IoStatus::done) continue;
     const std::string_view text(bytes, got.bytes);
-    if (changes::is_change(text)) {
+    if (changes::is_change_datagram(text)) {
       if (changing_) changing_->received(got.from, text);
     } else if (!leases::is_lease_datagram(text))
       view_.received(got.from, text);
@@ -81,9 +82,9 @@
   network_.wait_datagram(*this);
 }
 
-void Peers::woken(std::uint64_t token) {
+void Peers::timer_expired(std::uint64_t token) {
   if (token == kCounts) return tell_count();
-  view_.set_time(wakes_.now());
+  view_.set_time(timers_.now());
   view_.timer_expired(TimerId{token});
 }
 
@@ -104,11 +105,11 @@
 // The settings' count stands until the view has had the time to hold whoever there is.
 void Peers::tell_count() {
   if (!view_.joined()) return;
-  const Micros now = wakes_.now();
-  const Micros learns = fleet_.interval * kKnowsAll;
+  const Micros now = timers_.now();
+  const Micros learns = fleet_.probe_interval * kKnowsAll;
   if (joined_at_ == kNever) {
     joined_at_ = now;
-    return wakes_.after(learns, *this, kCounts);
+    return timers_.schedule(learns, *this, kCounts);
   }
   const unsigned acting = view_.active_count();
   if (now - joined_at_ < learns || acting == told_) return;
--- a/src/node/peers.h
+++ b/src/node/peers.h
@@ -1,5 +1,5 @@
 // The other nodes of the fleet, where the operator's file asks for them: the view on the network's datagrams
-// and wakes, its log lines, and what the decision module is told of it.
+// and timers, its log lines, and what the decision module is told of it.
 #pragma once
 
 #include <functional>
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "members/view.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 #include "node/changing.h"
 #include "node/voting.h"
 #include "setup/operator.h"
@@ -17,10 +17,10 @@
 
 using namespace net;
 
-class Peers final : members::ViewDelegate, Woken, DatagramEvents {
+class Peers final : members::ViewDelegate, TimerEvents, DatagramEvents {
  public:
   // `count` is called with the number of nodes that may be acting, whenever it is another.
-  Peers(Network& network, Wakes& wakes, const setup::FleetSection& fleet, std::string name,
+  Peers(Network& network, TimerQueue& timers, const setup::FleetSection& fleet, std::string name,
         std::string version, std::uint64_t seed, std::function<void(unsigned)> count);
   // Throws std::system_error where the address can't be had.
   void begin();
@@ -38,15 +38,15 @@
 
  private:
   void send(const Address& to, std::string_view bytes) override { network_.send_datagram(to, bytes); }
-  void set_timer(Micros delay, TimerId timer) override { wakes_.after(delay, *this, timer.value); }
+  void set_timer(Micros delay, TimerId timer) override { timers_.schedule(delay, *this, timer.value); }
   void on_member_changed(std::string_view name, const members::Member& now, bool fresh) override;
   void log(std::string_view line) override;
-  void datagram_waits() override;
-  void woken(std::uint64_t token) override;
+  void datagram_pending() override;
+  void timer_expired(std::uint64_t token) override;
   void tell_count();
 
   Network& network_;
-  Wakes& wakes_;
+  TimerQueue& timers_;
   setup::FleetSection fleet_;
   std::string name_;
   std::function<void(unsigned)> count_;
--- a/src/node/voting.cpp
+++ b/src/node/voting.cpp
@@ -23,19 +23,20 @@
       disk_(leases.folder),
       folder_(leases.folder.empty() ? std::optional<PromiseFolder>()
                                     : std::optional<PromiseFolder>(std::in_place, disk_, name_)),
-      voter_(leases.length, Token{start}, network.ticking(), folder_ ? &*folder_ : nullptr,
+      voter_(leases.length, Token{start}, network.now_including_suspend(), folder_ ? &*folder_ : nullptr,
              folder_ ? folder_->kept() : std::nullopt),
       complained_at_(kNever) {
   net::log_line("leases: voter name=%s set=%016llx silent_ms=%lld", name_.c_str(),
                 static_cast<unsigned long long>(set_),
-                static_cast<long long>(voter_.silent(network.ticking()) ? leases.length.count() / 1000 : 0));
+                static_cast<long long>(
+                    voter_.silent(network.now_including_suspend()) ? leases.length.count() / 1000 : 0));
 }
 
 void Voting::received(std::string_view bytes) { decode(bytes, *this); }
 
 void Voting::on_request(const Sender& from, const Request& r) {
   if (r.kind == RequestKind::query) return show(from, r.lease);
-  const Micros now = network_.ticking();
+  const Micros now = network_.now_including_suspend();
   if (from.voter_set != set_) {
     // Voters of one set must not be counted for another: a majority of each may share nobody.
     if (complained_at_ == kNever || now - complained_at_ >= 10s) {
@@ -66,7 +67,7 @@
 
 // A page of what stands behind that name.
 void Voting::show(const Sender& to, std::string_view after) {
-  const auto all = voter_.list(network_.ticking());
+  const auto all = voter_.list(network_.now_including_suspend());
   for (const bool last : {true, false}) {
     DatagramWriter writer(DatagramWriter::Kind::status_page, {set_, name_, told_});
     writer.set_last(last);
--- a/src/setup/change_text.cpp
+++ b/src/setup/config_change.cpp
@@ -1,4 +1,4 @@
-#include "setup/change_text.h"
+#include "setup/config_change.h"
 
 #include "setup/deployment.h"
 #include "setup/toml_section.h"
@@ -16,9 +16,9 @@
 constexpr const char* kAtStart[] = {"name",  "listen", "seed",    "limits", "known",  "fleet",
                                     "zones", "rules",  "reports", "leases", "changes"};
 
-ChangedListener listener_of(const toml::table& table, const std::string& name, Complaints& wrong) {
+ListenerChange listener_of(const toml::table& table, const std::string& name, Complaints& wrong) {
   Section s(table, "listener." + name, wrong);
-  ChangedListener out;
+  ListenerChange out;
   if (s.has("handshake_target")) out.handshake_target = s.time("handshake_target", 1ms, 1h, 1ms);
   if (s.has("utility")) out.utility = s.real("utility", 0, 1e9, 1);
   for (const char* key : kListenerAtStart) s.refuse(key, kNeedsRestart);
@@ -27,10 +27,10 @@
 
 }  // namespace
 
-ChangeText ChangeText::of_text(const std::string& text, const std::string& path,
-                               std::vector<std::string>& wrong) {
+ConfigChange ConfigChange::parse(const std::string& text, const std::string& path,
+                                 std::vector<std::string>& wrong) {
   Complaints complaints(path, wrong);
-  ChangeText out;
+  ConfigChange out;
   const std::optional<toml::table> parsed = parsed_or_said(text, path, complaints);
   if (!parsed) return out;
   const toml::table& table = *parsed;
@@ -65,8 +65,8 @@
   return out;
 }
 
-Running changed(Running own, const std::vector<std::string>& names, const ChangeText& change,
-                std::vector<std::string>& wrong) {
+RuntimeSettings apply_change(RuntimeSettings own, const std::vector<std::string>& names,
+                             const ConfigChange& change, std::vector<std::string>& wrong) {
   for (const auto& [name, c] : change.listeners) {
     const auto at = std::find(names.begin(), names.end(), name);
     if (at == names.end()) {
--- a/src/setup/change_text.h
+++ b/src/setup/config_change.h
@@ -9,38 +9,38 @@
 
 #include "address.h"
 #include "balance.h"
-#include "setup/values.h"
+#include "setup/json_object.h"
 
 namespace flintweir::setup {
 
-struct ChangedListener {
+struct ListenerChange {
   std::optional<Micros> handshake_target;
   std::optional<double> utility;
 };
 
-struct ChangeText {
+struct ConfigChange {
   // All that is wrong is found, a line for each, as in the operator's file.
-  static ChangeText of_text(const std::string& text, const std::string& path,
+  static ConfigChange parse(const std::string& text, const std::string& path,
                             std::vector<std::string>& wrong);
 
   std::optional<Address> discovery;
-  std::map<std::string, ChangedListener> listeners;
+  std::map<std::string, ListenerChange> listeners;
   std::optional<unsigned> most_dials;
   std::optional<double> probe, crossing;
 };
 
 // What a node runs by that a change may touch.
-struct Running {
+struct RuntimeSettings {
   std::vector<Listener> listeners;
   DialLimits dials;
   Prices prices;
 };
 
-// As the node's file has it. Throws BadInput.
-Running running_of(const Values& settings);
+// As the node's file has it. Throws InvalidInput.
+RuntimeSettings read_runtime_settings(const JsonObject& settings);
 
 // The same with the change; what does not fit this node is said in `wrong`, and then nothing of it counts.
-Running changed(Running own, const std::vector<std::string>& listener_names, const ChangeText& change,
-                std::vector<std::string>& wrong);
+RuntimeSettings apply_change(RuntimeSettings own, const std::vector<std::string>& listener_names,
+                             const ConfigChange& change, std::vector<std::string>& wrong);
 
 }  // namespace flintweir::setup
--- a/src/setup/deployment.cpp
+++ b/src/setup/deployment.cpp
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-#include "setup/change_text.h"
+#include "setup/config_change.h"
 
 namespace flintweir::setup {
 namespace {
@@ -11,23 +11,23 @@
   if (name == "repeatable") return Effect::repeatable;
   if (name == "by_key") return Effect::referenced;
   if (name == "once") return Effect::once_only;
-  bad("settings: unknown effect '" + std::string(name) + "'");
+  throw_invalid_input("settings: unknown effect '" + std::string(name) + "'");
 }
 
 DedupScope reach_named(std::string_view name) {
   if (name == "all") return DedupScope::all;
   if (name == "zone") return DedupScope::zone;
   if (name == "cell") return DedupScope::cell;
-  bad("settings: unknown group '" + std::string(name) + "'");
+  throw_invalid_input("settings: unknown group '" + std::string(name) + "'");
 }
 
 // By listener; those that the settings don't name have none.
-std::vector<Micros> message_targets(const Values& settings) {
+std::vector<Micros> message_targets(const JsonObject& settings) {
   std::vector<Micros> out;
   if (!settings.has("familyInfo")) return out;
-  const Values family(settings, "familyInfo");
+  const JsonObject family(settings, "familyInfo");
   if (!family.has("messageAim")) return out;
-  for (const simdjson::dom::element e : family.row("messageAim")) {
+  for (const simdjson::dom::element e : family.array("messageAim")) {
     double aim;
     out.push_back(!e.get(aim) && aim > 0 && aim < 1e15 ? Micros{std::llround(aim)} : Micros{0});
   }
@@ -35,33 +35,33 @@
 }
 
 // The weights of the result. No decision follows from them; a part that asks for no nines says nothing.
-void check_goal(const Values& settings) {
+void check_goal(const JsonObject& settings) {
   if (!settings.has("goal")) return;
-  const Values goal(settings, "goal");
-  const double part = goal.positive_or_zero("ninesPart"), wanted = goal.positive_or_zero("ninesWanted");
-  if (part > 0 && wanted <= 0) bad("settings.goal.ninesWanted is missing or not above zero");
+  const JsonObject goal(settings, "goal");
+  const double part = goal.non_negative("ninesPart"), wanted = goal.non_negative("ninesWanted");
+  if (part > 0 && wanted <= 0) throw_invalid_input("settings.goal.ninesWanted is missing or not above zero");
 }
 
 // Further dials are rationed where all three say so, and nowhere else.
-std::optional<RetryBudgetLimits> further_dials(const Values& rules) {
+std::optional<RetryBudgetLimits> further_dials(const JsonObject& rules) {
   const bool floor = rules.has("extraFloor"), share = rules.has("extraPerRequest"),
              span = rules.has("budgetSpan");
   if (!floor && !share && !span) return std::nullopt;
   if (!floor || !share || !span)
-    bad("settings.rules: extraFloor, extraPerRequest and budgetSpan come together");
-  const double micros = rules.positive_or_zero("budgetSpan");
-  if (micros < 1 || micros > 1e15) bad("settings.rules.budgetSpan is not a time above zero");
-  return RetryBudgetLimits{rules.positive_or_zero("extraFloor"), rules.positive_or_zero("extraPerRequest"),
+    throw_invalid_input("settings.rules: extraFloor, extraPerRequest and budgetSpan come together");
+  const double micros = rules.non_negative("budgetSpan");
+  if (micros < 1 || micros > 1e15) throw_invalid_input("settings.rules.budgetSpan is not a time above zero");
+  return RetryBudgetLimits{rules.non_negative("extraFloor"), rules.non_negative("extraPerRequest"),
                            Micros{std::llround(micros)}};
 }
 
 }  // namespace
 
-std::vector<Listener> listeners(const Values& settings) {
+std::vector<Listener> read_listeners(const JsonObject& settings) {
   std::vector<Listener> out;
   const std::vector<Micros> messages = message_targets(settings);
-  for (const simdjson::dom::element e : settings.row("listeners")) {
-    const Values l(e, "settings: a listener");
+  for (const simdjson::dom::element e : settings.array("listeners")) {
+    const JsonObject l(e, "settings: a listener");
     out.push_back({l.time("handshakeTarget"), l.time("dialTimeout"), effect_named(l.text("effect", "once")),
                    reach_named(l.text("group", "cell")), l.time("dedupWindow"), l.real("utility", 1),
                    out.size() < messages.size() ? messages[out.size()] : Micros{0}});
@@ -69,19 +69,20 @@
   return out;
 }
 
-Running running_of(const Values& settings) {
-  const Values ceilings(settings, "ceilings"), rules(settings, "rules"), prices(settings, "prices");
-  return {listeners(settings),
-          DialLimits{static_cast<unsigned>(ceilings.real("maxDials", 1)), longest_stay_away(settings),
+RuntimeSettings read_runtime_settings(const JsonObject& settings) {
+  const JsonObject ceilings(settings, "ceilings"), rules(settings, "rules"), prices(settings, "prices");
+  return {read_listeners(settings),
+          DialLimits{static_cast<unsigned>(ceilings.real("maxDials", 1)), read_max_retry_after(settings),
                      further_dials(rules)},
           Prices{prices.real("crossZone", 0),
-                 ceilings.yes("probes") ? std::optional(prices.real("probe", 0)) : std::nullopt}};
+                 ceilings.flag("probes") ? std::optional(prices.real("probe", 0)) : std::nullopt}};
 }
 
-std::unique_ptr<Balancer> balancer_for(const Values& settings, BalancerActions& outlet, std::uint64_t seed) {
-  const Values rules(settings, "rules");
+std::unique_ptr<Balancer> create_balancer(const JsonObject& settings, BalancerActions& outlet,
+                                          std::uint64_t seed) {
+  const JsonObject rules(settings, "rules");
   check_goal(settings);
-  Running running = running_of(settings);
+  RuntimeSettings running = read_runtime_settings(settings);
   return make_balancer(
       outlet, seed, static_cast<unsigned>(settings.real("balancers", 1)),
       ZoneId{static_cast<std::uint32_t>(settings.real("myZone", 0))}, std::move(running.listeners),
@@ -89,50 +90,50 @@
       ColdStartLimits{rules.time("cold"), rules.real("coldShare", 1), rules.real("overloadFactor", 1),
                       rules.time("tipAfter")},
       ListPolicy{settings.text("discovery", "") == "on_request", rules.time("askEvery"),
-                 settings.text("weightSource", "") != "live", rules.yes_or_no("softRemoval", false)},
+                 settings.text("weightSource", "") != "live", rules.bool_or("softRemoval", false)},
       running.prices);
 }
 
-std::vector<std::string> names(const Values& settings, std::string_view list) {
+std::vector<std::string> read_names(const JsonObject& settings, std::string_view list) {
   std::vector<std::string> out;
-  for (const simdjson::dom::element e : settings.row(list)) {
+  for (const simdjson::dom::element e : settings.array(list)) {
     std::string_view name;
-    if (e.get(name)) name = Values(e, "settings." + std::string(list)).text("name", "");
+    if (e.get(name)) name = JsonObject(e, "settings." + std::string(list)).text("name", "");
     out.emplace_back(name);
   }
   return out;
 }
 
-std::vector<std::string> report_fields(const Values& settings) {
-  const Values reporting(settings, "reporting");
-  for (const simdjson::dom::element e : reporting.row("fields")) {
-    if (!e.is_string()) bad("settings: a report field is not a text");
+std::vector<std::string> read_report_fields(const JsonObject& settings) {
+  const JsonObject reporting(settings, "reporting");
+  for (const simdjson::dom::element e : reporting.array("fields")) {
+    if (!e.is_string()) throw_invalid_input("settings: a report field is not a text");
   }
-  return names(reporting, "fields");
+  return read_names(reporting, "fields");
 }
 
-void set_field(LoadReport& report, std::string_view name, double value) {
+void set_report_field(LoadReport& report, std::string_view name, double value) {
   if (name == "x0") report.load = value;
   if (name == "x1") report.backlog = value;
   if (name == "util") report.cpu_usage = value;
   if (name == "queue") report.queued_sessions = value;
 }
 
-std::uint64_t id_of(std::string_view name) {
+std::uint64_t hash_name(std::string_view name) {
   std::uint64_t h = 14695981039346656037ull;  // FNV-1a
   for (const unsigned char c : name) h = (h ^ c) * 1099511628211ull;
   return h;
 }
 
-std::uint64_t key_of(std::string_view text) {
+std::uint64_t parse_key(std::string_view text) {
   std::uint64_t key;
   const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), key, 16);
-  return ec == std::errc{} && end == text.data() + text.size() ? key : id_of(text);
+  return ec == std::errc{} && end == text.data() + text.size() ? key : hash_name(text);
 }
 
-Micros longest_stay_away(const Values& settings) {
-  const Values ceilings(settings, "ceilings");
-  return ceilings.yes("retryAfter") ? ceilings.time("maxRetryAfter") : Micros{0};
+Micros read_max_retry_after(const JsonObject& settings) {
+  const JsonObject ceilings(settings, "ceilings");
+  return ceilings.flag("retryAfter") ? ceilings.time("maxRetryAfter") : Micros{0};
 }
 
 }  // namespace flintweir::setup
--- a/src/setup/values.h
+++ b/src/setup/json_object.h
@@ -12,19 +12,19 @@
 
 namespace flintweir::setup {
 
-struct BadInput : std::runtime_error {
+struct InvalidInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-[[noreturn]] inline void bad(std::string what) { throw BadInput(std::move(what)); }
+[[noreturn]] inline void throw_invalid_input(std::string what) { throw InvalidInput(std::move(what)); }
 
-class Values {
+class JsonObject {
  public:
   // `path` names the object in complaints.
-  Values(simdjson::dom::element e, std::string path) : path_(std::move(path)) {
-    if (e.get(object_)) bad(path_ + " is not an object");
+  JsonObject(simdjson::dom::element e, std::string path) : path_(std::move(path)) {
+    if (e.get(object_)) throw_invalid_input(path_ + " is not an object");
   }
-  Values(const Values& outer, std::string_view key) : path_(outer.path_ + '.' + std::string(key)) {
-    if (outer.object_[key].get(object_)) bad(path_ + " is not an object");
+  JsonObject(const JsonObject& outer, std::string_view key) : path_(outer.path_ + '.' + std::string(key)) {
+    if (outer.object_[key].get(object_)) throw_invalid_input(path_ + " is not an object");
   }
   double real(std::string_view key, double other) const {
     double out;
@@ -41,34 +41,35 @@
     std::string_view out;
     return object_[key].get(out) ? other : out;
   }
-  bool yes(std::string_view key) const {
+  bool flag(std::string_view key) const {
     bool out;
     return !object_[key].get(out) && out;
   }
-  // Like yes(), but anything else than true or false is refused.
-  bool yes_or_no(std::string_view key, bool other) const {
+  // Like flag(), but anything else than true or false is refused.
+  bool bool_or(std::string_view key, bool other) const {
     bool out = other;
-    if (has(key) && object_[key].get(out)) bad(path_ + '.' + std::string(key) + " is not true or false");
+    if (has(key) && object_[key].get(out))
+      throw_invalid_input(path_ + '.' + std::string(key) + " is not true or false");
     return out;
   }
-  double positive_or_zero(std::string_view key) const {
+  double non_negative(std::string_view key) const {
     double out = 0;
     if (has(key) && (object_[key].get(out) || !std::isfinite(out) || out < 0))
-      bad(path_ + '.' + std::string(key) + " is not a number of zero or more");
+      throw_invalid_input(path_ + '.' + std::string(key) + " is not a number of zero or more");
     return out;
   }
-  simdjson::dom::array row(std::string_view key) const {
+  simdjson::dom::array array(std::string_view key) const {
     simdjson::dom::array out;
-    if (object_[key].get(out)) bad(path_ + '.' + std::string(key) + " is not a list");
+    if (object_[key].get(out)) throw_invalid_input(path_ + '.' + std::string(key) + " is not a list");
     return out;
   }
   bool has(std::string_view key) const {
     simdjson::dom::element out;
     return !object_[key].get(out) && !out.is_null();
   }
-  simdjson::dom::element need(std::string_view key) const {
+  simdjson::dom::element required(std::string_view key) const {
     simdjson::dom::element out;
-    if (object_[key].get(out)) bad(path_ + '.' + std::string(key) + " is missing");
+    if (object_[key].get(out)) throw_invalid_input(path_ + '.' + std::string(key) + " is missing");
     return out;
   }
 
--- a/src/setup/operator.cpp
+++ b/src/setup/operator.cpp
@@ -3,8 +3,8 @@
 #include <fstream>
 #include <sstream>
 
+#include "setup/json_object.h"
 #include "setup/toml_section.h"
-#include "setup/values.h"
 
 namespace flintweir::setup {
 namespace {
@@ -16,19 +16,19 @@
   FleetSection out;
   out.name = s.word("name", 64, std::nullopt);
   out.address = s.address("address", std::nullopt);
-  out.told = s.address("told", out.address);
+  out.advertised = s.address("told", out.address);
   out.zone = s.word("zone", 32, "");
   out.seeds = s.addresses("seeds");
-  out.interval = s.time("interval", 50ms, 60s, 300ms);
-  out.forget = s.time("forget", 1min, 720h, 1h);
-  out.most = s.number("most", 1, 4096, 4096);
+  out.probe_interval = s.time("interval", 50ms, 60s, 300ms);
+  out.forget_after = s.time("forget", 1min, 720h, 1h);
+  out.max_members = s.number("most", 1, 4096, 4096);
   return out;
 }
 
 }  // namespace
 
-OperatorFile OperatorFile::of_text(const std::string& text, const std::string& path,
-                                   std::vector<std::string>& wrong) {
+OperatorFile OperatorFile::parse(const std::string& text, const std::string& path,
+                                 std::vector<std::string>& wrong) {
   Complaints complaints(path, wrong);
   OperatorFile out;
   const std::optional<toml::table> parsed = parsed_or_said(text, path, complaints);
@@ -59,7 +59,7 @@
   return out;
 }
 
-OperatorFile OperatorFile::of_file(const std::string& path, std::vector<std::string>& wrong) {
+OperatorFile OperatorFile::load(const std::string& path, std::vector<std::string>& wrong) {
   std::ifstream in(path);
   std::ostringstream text;
   text << in.rdbuf();
@@ -67,13 +67,13 @@
     wrong.push_back(path + ":1:1: file: can't be read");
     return {};
   }
-  return of_text(text.str(), path, wrong);
+  return parse(text.str(), path, wrong);
 }
 
-OperatorFile OperatorFile::read(const std::string& path) {
+OperatorFile OperatorFile::load_or_throw(const std::string& path) {
   std::vector<std::string> wrong;
-  OperatorFile out = of_file(path, wrong);
-  if (!wrong.empty()) bad(wrong.front());
+  OperatorFile out = load(path, wrong);
+  if (!wrong.empty()) throw_invalid_input(wrong.front());
   return out;
 }
 
--- a/src/setup/operator.h
+++ b/src/setup/operator.h
@@ -14,11 +14,11 @@
 // Section [fleet]: the fleet whose nodes know each other.
 struct FleetSection {
   std::string name, zone;
-  Address address, told;
+  Address address, advertised;
   std::vector<Address> seeds;
-  Micros interval;   // between two probes
-  Micros forget;     // a member that failed so long ago counts no more
-  std::size_t most;  // members known at a time
+  Micros probe_interval;    // between two probes
+  Micros forget_after;      // a member that failed so long ago counts no more
+  std::size_t max_members;  // members known at a time
   bool operator==(const FleetSection&) const = default;
 };
 
@@ -39,11 +39,11 @@
 class OperatorFile {
  public:
   // All that is wrong is found, a line for each: FILE:LINE:COLUMN: KEY: what, and what is allowed.
-  static OperatorFile of_file(const std::string& path, std::vector<std::string>& wrong);
-  static OperatorFile of_text(const std::string& text, const std::string& path,
-                              std::vector<std::string>& wrong);
-  // Throws BadInput with the first line of what is wrong.
-  static OperatorFile read(const std::string& path);
+  static OperatorFile load(const std::string& path, std::vector<std::string>& wrong);
+  static OperatorFile parse(const std::string& text, const std::string& path,
+                            std::vector<std::string>& wrong);
+  // Throws InvalidInput with the first line of what is wrong.
+  static OperatorFile load_or_throw(const std::string& path);
 
   std::optional<FleetSection> fleet;
   std::optional<LeasesSection> leases;    // only beside a fleet
--- a/src/view_client.h
+++ b/src/view_client.h
@@ -32,12 +32,12 @@
   }
 
  private:
-  void datagram_waits() override {
+  void datagram_pending() override {
     char bytes[members::kMaxDatagramBytes + 1];
     for (;;) {
       const auto got = network_.receive(bytes, sizeof bytes);
-      if (got.how == net::Io::later) break;
-      if (got.how != net::Io::done || got.from != at_) continue;
+      if (got.status == net::IoStatus::would_block) break;
+      if (got.status != net::IoStatus::done || got.from != at_) continue;
       answered_ = true;
       whole_ = asker_->received({bytes, got.bytes}) || whole_;
     }
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -11,10 +11,10 @@
 #include <random>
 #include <thread>
 
-#include "changes/carrier.h"
+#include "changes/replicator.h"
 #include "lab/fleet/change_rig.h"
 #include "node/changing.h"
-#include "setup/change_text.h"
+#include "setup/config_change.h"
 
 namespace flintweir::test {
 namespace {
@@ -25,19 +25,19 @@
 const Address kAt = *address_of("127.0.0.1:7946");
 const Sender kMe{"fleet", "n1", kAt};
 
-struct Heard final : Hearer {
-  void have_came(const Sender& from, const Has& h) override { name = from.name, has = h, ++calls; }
-  void want_came(const Sender&, const Which& of, std::uint32_t p) override { which = of, parts = p, ++calls; }
-  void part_came(const Sender&, const Which& of, std::uint32_t p, std::string_view b) override {
-    which = of, parts = p, bytes = b, ++calls;
+struct Heard final : MessageHandler {
+  void on_have(const Sender& from, const HeldChanges& h) override { name = from.name, held = h, ++calls; }
+  void on_want(const Sender&, const ChangeId& of, std::uint32_t p) override {
+    which = of, parts = p, ++calls;
   }
-  void ask_came(const Sender&, std::uint64_t n) override { nonce = n, ++calls; }
-  void status_came(const Sender&, std::uint64_t n, const Status& s) override {
-    nonce = n, status = s, ++calls;
+  void on_part(const Sender&, const ChangeId& of, std::uint32_t p, std::string_view b) override {
+    which = of, parts = p, bytes = b, ++calls;
   }
+  void on_query(const Sender&, std::uint64_t n) override { nonce = n, ++calls; }
+  void on_status(const Sender&, std::uint64_t n, const Status& s) override { nonce = n, status = s, ++calls; }
   std::string name, bytes;
-  Has has;
-  Which which;
+  HeldChanges held;
+  ChangeId which;
   std::uint32_t parts = 0;
   std::uint64_t nonce = 0;
   Status status;
@@ -45,14 +45,14 @@
 };
 
 TEST(ChangeDatagrams, AreHeardWholeOrNotAtAll) {
-  const Which a{ChangeNumber{7}, 99, 4096}, b{ChangeNumber{5}, 98, 0};
-  const std::string longest(kPart, 'x'), name(64, 'n');
+  const ChangeId a{ChangeNumber{7}, 99, 4096}, b{ChangeNumber{5}, 98, 0};
+  const std::string longest(kPartBytes, 'x'), name(64, 'n');
   const Sender long_name{name, name, kAt};
-  const std::vector<std::string> all = {have(kMe, {a, b}), want(kMe, a, 31), part(long_name, a, 4, longest),
-                                        ask(kMe, 1ull << 60),
-                                        status(kMe, 3, {{a, b}, std::string(200, 'w')})};
+  const std::vector<std::string> all = {encode_have(kMe, {a, b}), encode_want(kMe, a, 31),
+                                        encode_part(long_name, a, 4, longest), encode_query(kMe, 1ull << 60),
+                                        encode_status(kMe, 3, {{a, b}, std::string(200, 'w')})};
   for (const std::string& one : all) {
-    ASSERT_LE(one.size(), kLongestDatagram);
+    ASSERT_LE(one.size(), kMaxDatagramBytes);
     Heard whole;
     EXPECT_TRUE(decode(one, "", whole));
     EXPECT_EQ(whole.calls, 1);
@@ -71,18 +71,18 @@
   }
   Heard heard;
   EXPECT_TRUE(decode(all[0], "fleet", heard));
-  EXPECT_EQ(heard.has, (Has{a, b}));
+  EXPECT_EQ(heard.held, (HeldChanges{a, b}));
   EXPECT_FALSE(decode(all[0], "another", heard));
   EXPECT_TRUE(decode(all[4], "fleet", heard));
   EXPECT_EQ(heard.status.reason.size(), 200u);
   // What cannot be: a change in force that is newer than the newest.
-  EXPECT_FALSE(decode(have(kMe, {b, a}), "fleet", heard));
+  EXPECT_FALSE(decode(encode_have(kMe, {b, a}), "fleet", heard));
 }
 
 // What is allowed while nodes run, and one line for each thing that is not.
-TEST(ChangeText, SaysAllThatIsWrong) {
+TEST(ConfigChange, SaysAllThatIsWrong) {
   std::vector<std::string> wrong;
-  const auto good = setup::ChangeText::of_text(
+  const auto good = setup::ConfigChange::parse(
       "discovery = \"127.0.0.1:1\"\n[listener.chat]\nhandshake_target = \"300ms\"\nutility = 2\n[ceilings]\n"
       "most_dials = 3\n[prices]\nprobe = 0.1\ncrossing = 0\n",
       "f", wrong);
@@ -108,12 +108,12 @@
            {"a = \n", "f:1:"},
        }) {
     wrong.clear();
-    setup::ChangeText::of_text(text, "f", wrong);
+    setup::ConfigChange::parse(text, "f", wrong);
     ASSERT_EQ(wrong.size(), 1u) << text;
     EXPECT_NE(wrong[0].find(says), std::string::npos) << wrong[0];
   }
   // What does not fit this node.
-  setup::Running own;
+  setup::RuntimeSettings own;
   own.listeners = {Listener{500ms, 1s, Effect::repeatable, DedupScope::all, 1s, 1}};
   own.dials.max_dials = 2;
   for (const auto& [text, says] : std::vector<std::pair<const char*, const char*>>{
@@ -121,14 +121,14 @@
            {"[listener.chat]\nhandshake_target = \"1001ms\"\n", "over its dial timeout"},
            {"[prices]\nprobe = 1\n", "may not be probed"}}) {
     wrong.clear();
-    const auto change = setup::ChangeText::of_text(text, "f", wrong);
-    setup::changed(own, {"chat"}, change, wrong);
+    const auto change = setup::ConfigChange::parse(text, "f", wrong);
+    setup::apply_change(own, {"chat"}, change, wrong);
     ASSERT_EQ(wrong.size(), 1u) << text;
     EXPECT_NE(wrong[0].find(says), std::string::npos) << wrong[0];
   }
   // A text without keys is the way back to the files.
   wrong.clear();
-  const auto back = setup::changed(own, {"chat"}, setup::ChangeText::of_text("", "f", wrong), wrong);
+  const auto back = setup::apply_change(own, {"chat"}, setup::ConfigChange::parse("", "f", wrong), wrong);
   EXPECT_TRUE(wrong.empty());
   EXPECT_EQ(back.dials.max_dials, 2u);
 }
@@ -138,7 +138,7 @@
   const std::string text = node::to_file(change);
   const auto read = node::of_file(text);
   ASSERT_TRUE(read);
-  EXPECT_EQ(which(*read), which(change));
+  EXPECT_EQ(change_id(*read), change_id(change));
   for (std::size_t cut = 0; cut < text.size(); ++cut) EXPECT_FALSE(node::of_file(text.substr(0, cut))) << cut;
   std::string spoilt = text;
   spoilt.back() = ' ';
@@ -146,75 +146,75 @@
   EXPECT_FALSE(node::of_file("flintweir-change 2 1 1\n"));
 }
 
-// One carrier among others that the test plays.
-struct Lone final : changes::Outlet {
-  explicit Lone() : carrier(*this, "fleet", "n1", kAt, 7) { carrier.at(1s); }
+// One replicator among others that the test plays.
+struct Lone final : changes::ReplicatorDelegate {
+  explicit Lone() : replicator(*this, "fleet", "n1", kAt, 7) { replicator.set_time(1s); }
   void send(const Address&, std::string_view bytes) override { sent.emplace_back(bytes); }
-  void wake(Micros, TimerId) override {}
-  void draw(std::size_t, std::size_t, std::vector<Address>& to) override { to.push_back(kAt); }
-  std::string take(const Change& c) override {
+  void set_timer(Micros, TimerId) override {}
+  void sample_members(std::size_t, std::size_t, std::vector<Address>& to) override { to.push_back(kAt); }
+  std::string apply(const Change& c) override {
     if (c.text.starts_with("bad")) return "does not fit";
     taken.push_back(c.number.value);
     return {};
   }
-  void keep(const Change& c, bool in_force) override { (in_force ? kept : kept_refused) = c.number.value; }
-  void known(const Status&, std::string_view) override {}
+  void persist(const Change& c, bool in_force) override { (in_force ? kept : kept_refused) = c.number.value; }
+  void on_status_change(const Status&, std::string_view) override {}
   // Another member has it, and gives all that is asked for.
   void given(std::uint64_t number, const std::string& text) {
     const Change change{ChangeNumber{number}, text};
-    carrier.received(kAt, have(kOther, {which(change), which(change)}));
+    replicator.on_datagram(kAt, encode_have(kOther, {change_id(change), change_id(change)}));
     for (std::uint32_t i = 0; i < 5; ++i)
-      if (i * kPart < std::max<std::size_t>(text.size(), 1))
-        carrier.received(kAt,
-                         part(kOther, which(change), i, std::string_view(text).substr(i * kPart, kPart)));
+      if (i * kPartBytes < std::max<std::size_t>(text.size(), 1))
+        replicator.on_datagram(kAt, encode_part(kOther, change_id(change), i,
+                                                std::string_view(text).substr(i * kPartBytes, kPartBytes)));
   }
   const Sender kOther{"fleet", "n2", kAt};
   std::vector<std::string> sent;
   std::vector<std::uint64_t> taken;
   std::uint64_t kept = 0, kept_refused = 0;
-  Carrier carrier;
+  Replicator replicator;
 };
 
-TEST(Carrier, TakesOnlyWhatIsNewerWholeAndFits) {
+TEST(Replicator, TakesOnlyWhatIsNewerWholeAndFits) {
   Lone n;
-  n.carrier.begin({}, {kAt});
+  n.replicator.start({}, {kAt});
   n.given(5, std::string(3000, '#'));
   n.given(4, "older");
   n.given(5, std::string(3000, '#'));
   EXPECT_EQ(n.taken, (std::vector<std::uint64_t>{5}));
   // Refused: known, passed on, and not in force; a later one that fits is.
   n.given(6, "bad");
-  EXPECT_EQ(n.carrier.status().has.newest.number.value, 6u);
-  EXPECT_EQ(n.carrier.status().has.in_force.number.value, 5u);
-  EXPECT_EQ(n.carrier.status().reason, "does not fit");
+  EXPECT_EQ(n.replicator.status().held.newest.number.value, 6u);
+  EXPECT_EQ(n.replicator.status().held.in_force.number.value, 5u);
+  EXPECT_EQ(n.replicator.status().reason, "does not fit");
   EXPECT_EQ(n.kept_refused, 6u);
   n.given(7, "");
   EXPECT_EQ(n.taken, (std::vector<std::uint64_t>{5, 7}));
-  EXPECT_EQ(n.carrier.status().reason, "");
+  EXPECT_EQ(n.replicator.status().reason, "");
   // Parts of another text under the same number never make one.
   const Change eight{ChangeNumber{8}, std::string(1000, 'a')};
-  n.carrier.received(kAt, have(n.kOther, {which(eight), which(eight)}));
-  n.carrier.received(kAt, part(n.kOther, which(eight), 0, std::string(kPart, 'b')));
-  n.carrier.received(kAt, part(n.kOther, which(eight), 1, std::string(100, 'a')));
-  EXPECT_EQ(n.carrier.status().has.newest.number.value, 7u);
+  n.replicator.on_datagram(kAt, encode_have(n.kOther, {change_id(eight), change_id(eight)}));
+  n.replicator.on_datagram(kAt, encode_part(n.kOther, change_id(eight), 0, std::string(kPartBytes, 'b')));
+  n.replicator.on_datagram(kAt, encode_part(n.kOther, change_id(eight), 1, std::string(100, 'a')));
+  EXPECT_EQ(n.replicator.status().held.newest.number.value, 7u);
 }
 
 // Guards against a node that starts after a change that its like refuse: it ran by its file alone, while they
 // ran by the change before. Found by trying it by hand.
-TEST(Carrier, ComesToWhatOthersRunByWhereItRefusesTheNewest) {
+TEST(Replicator, ComesToWhatOthersRunByWhereItRefusesTheNewest) {
   Lone n;
-  n.carrier.begin({}, {kAt});
+  n.replicator.start({}, {kAt});
   n.given(9, "bad");
   const Change before{ChangeNumber{8}, "good"}, newest{ChangeNumber{9}, "bad"};
-  n.carrier.received(kAt, have(n.kOther, {which(newest), which(before)}));
-  n.carrier.received(kAt, part(n.kOther, which(before), 0, "good"));
+  n.replicator.on_datagram(kAt, encode_have(n.kOther, {change_id(newest), change_id(before)}));
+  n.replicator.on_datagram(kAt, encode_part(n.kOther, change_id(before), 0, "good"));
   EXPECT_EQ(n.taken, (std::vector<std::uint64_t>{8}));
-  EXPECT_EQ(n.carrier.status().has.newest.number.value, 9u);
-  EXPECT_EQ(n.carrier.status().has.in_force.number.value, 8u);
+  EXPECT_EQ(n.replicator.status().held.newest.number.value, 9u);
+  EXPECT_EQ(n.replicator.status().held.in_force.number.value, 8u);
   // And from its own folder at the next start.
   Lone again;
-  again.carrier.begin({before, newest}, {kAt});
-  EXPECT_EQ(again.carrier.status().has, n.carrier.status().has);
+  again.replicator.start({before, newest}, {kAt});
+  EXPECT_EQ(again.replicator.status().held, n.replicator.status().held);
 }
 
 TEST(ChangesBySeed, KeepEveryRule) {
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -51,8 +51,8 @@
       void readable(bool) override {}
       void writable(bool) override {}
     } nobody;
-    sockets_.network().tell(going, nobody);
-    if (reset || at_end_ || going.turn % 4 != 0) sockets_.network().close(going, reset);")
+    sockets_.network().set_events(going, nobody);
+    if (reset || at_eof_ || going.generation % 4 != 0) sockets_.network().close(going, reset);")
 flintweir_flaw(answers-twice overload answer src/line/client_conn.cpp
   "  if (!say(line) || all_out())" "  say(line);
   if (!say(line) || all_out())")
@@ -61,9 +61,9 @@
 flintweir_flaw(cold-ignored rolling_deploy cold src/balance.cpp
   "+ cost <= budget ||" "+ cost <= 100 * budget ||")
 flintweir_flaw(byte-lost mix line src/line/relay.cpp
-  "    bytes.drop(*n);
+  "    bytes.consume(*n);
     seen_ -= std::min(seen_, *n);" "    const std::size_t gone = *n < whole ? *n + 1 : *n;
-    bytes.drop(gone);
+    bytes.consume(gone);
     seen_ -= std::min(seen_, gone);")
 flintweir_flaw(late-answer mix answer src/line/protocol.cpp
   "taken.deadline = now + " "taken.deadline = now + std::chrono::milliseconds(400) + ")
@@ -73,10 +73,10 @@
   "  client_->close();
   host_->close();" "  client_->close();
   static struct Nobody final : StreamEvents {
-    void came(Stream&) override {}
+    void input_ready(Stream&) override {}
     void broken(Stream&) override {}
   } nobody;
-  host_->hand_to(nobody);")
+  host_->set_events(nobody);")
 flintweir_flaw(runs-twice hosts_hang effect src/balance.cpp
   "if (!proven) s->ran(" "if (proven) s->ran(")
 flintweir_flaw(gone-and-dialled-on clients_leave gone src/line/proxy_session.cpp
@@ -136,7 +136,7 @@
 flintweir_flaw(failures-put-off-the-list crossings drain src/node/staleness_clock.cpp
   "failing_from_ = std::min(failing_from_, unheard_since(now) + kAfterChange);" "failing_from_ = now + kAfterChange;")
 flintweir_flaw(turn-not-counted crossings drain src/node/discovery.cpp
-  "  clock_.service_switched(wakes_.now());" "")
+  "  clock_.service_switched(timers_.now());" "")
 flintweir_flaw(outage-believed-at-once list_outages drain src/node/staleness_clock.cpp
   "unsettled_from_ == kNever && now >= failing_from_ + outage_threshold_" "true")
 flintweir_flaw(queue-taken-for-a-watch list_outages drain src/node/staleness_clock.cpp
@@ -145,21 +145,21 @@
   "    list_stale_ = true;" "    list_stale_ = now_ < kQuietRest;")
 flintweir_flaw(answer-lost-at-stop crossings answer src/node/node.cpp
   "  while (accept()) continue;" ""
-  "wakes_.after(longest_dial_ + kKilled - kEndsBefore, *this, left)" "wakes_.after(Micros{0}, *this, left)")
+  "timers_.schedule(longest_dial_ + kKilled - kEndsBefore, *this, left)" "timers_.schedule(Micros{0}, *this, left)")
 flintweir_flaw(move-within-a-line crossings ended src/line/relay.cpp
   "if (moving_ && between_lines_)" "if (moving_)"
-  "host_->at_end() ? bytes.held().size() : seen_" "bytes.held().size()")
+  "host_->at_eof() ? bytes.buffered().size() : seen_" "bytes.buffered().size()")
 
 # Changes of configuration.
-flintweir_flaw(change-goes-back changes back src/changes/carrier.cpp
-  "if (theirs > status_.has.newest) return true;" "if (theirs != status_.has.newest) return true;"
-  "if (now > status_.has.newest) {" "if (now != status_.has.newest) {")
-flintweir_flaw(change-in-force-though-refused changes refused src/changes/carrier.cpp
+flintweir_flaw(change-goes-back changes back src/changes/replicator.cpp
+  "if (theirs > status_.held.newest) return true;" "if (theirs != status_.held.newest) return true;"
+  "if (now > status_.held.newest) {" "if (now != status_.held.newest) {")
+flintweir_flaw(change-in-force-though-refused changes refused src/changes/replicator.cpp
   "const bool taken = reason.empty();" "const bool taken = true;")
-flintweir_flaw(change-not-told-at-rest changes settled src/changes/carrier.cpp
+flintweir_flaw(change-not-told-at-rest changes settled src/changes/replicator.cpp
   "return tell(far ? 0 : 1, far ? 1 : 0);" "return static_cast<void>(far);"
   "for (const Address& s : seeds_)" "for (const Address& s : std::vector<Address>())")
-flintweir_flaw(change-before-not-fetched changes settled src/changes/carrier.cpp
+flintweir_flaw(change-before-not-fetched changes settled src/changes/replicator.cpp
   "return !status_.reason.empty() && theirs" "return false && theirs")
-flintweir_flaw(change-told-without-end changes budget src/changes/carrier.cpp
+flintweir_flaw(change-told-without-end changes budget src/changes/replicator.cpp
   "kRounds = 4;" "kRounds = 4000;" "kRound = 250ms;" "kRound = 5ms;" "kBytesPerSecond = 7000" "kBytesPerSecond = 7e9")
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -18,7 +18,7 @@
 #include "lab/reports/results.h"
 #include "lab/runner.h"
 #include "net/stream.h"
-#include "net/wakes.h"
+#include "net/timer_queue.h"
 
 namespace flintweir::lab {
 namespace {
@@ -61,9 +61,9 @@
   bool failed = false, ended = false, reset = false;
 
  private:
-  void connection_waits() override {
-    const net::Accepted a = sockets_.network().accept();
-    if (a.how != net::Io::done) return;
+  void connection_pending() override {
+    const net::AcceptResult a = sockets_.network().accept();
+    if (a.status != net::IoStatus::done) return;
     stream_.adopt(a.socket, *this);
     up_ = true;
     stream_.want_read();
@@ -76,10 +76,10 @@
     stream_.want_read();
     push();
   }
-  void came(net::Stream& s) override {
-    got += s.in().held();
-    s.in().clear();
-    if (s.at_end()) ended = true;
+  void input_ready(net::Stream& s) override {
+    got += s.input().buffered();
+    s.input().clear();
+    if (s.at_eof()) ended = true;
     s.want_read();
   }
   void writable(net::Stream&) override { push(); }
@@ -91,7 +91,7 @@
       sent_ += *n;
       if (*n == 0 || chance_() % 2) return stream_.want_write();
     }
-    if (finishing_) stream_.end_sending();
+    if (finishing_) stream_.shutdown_send();
   }
 
   net::Sockets sockets_;
@@ -181,8 +181,8 @@
     void readable(bool) override {}
     void writable(bool) override {}
   } nobody;
-  EXPECT_NE(left.connect(Fabric::address(b, 80), nobody).turn, 0u);
-  EXPECT_EQ(left.connect(Fabric::address(b, 80), nobody).turn, 0u);
+  EXPECT_NE(left.connect(Fabric::address(b, 80), nobody).generation, 0u);
+  EXPECT_EQ(left.connect(Fabric::address(b, 80), nobody).generation, 0u);
 }
 
 TEST(Histogram, IsOffByFivePerCentAtTheMost) {
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -104,22 +104,22 @@
 
 TEST(OperatorFile, IsTakenAsWritten) {
   std::vector<std::string> wrong;
-  const auto file = setup::OperatorFile::of_text(
+  const auto file = setup::OperatorFile::parse(
       "[fleet]\nname = \"classroom\"\naddress = \"127.0.0.1:7946\"\nzone = \"east\"\ninterval = \"200ms\"\n"
       "seeds = [\"127.0.0.2:7946\", \"127.0.0.3:7946\"]\n",
       "f", wrong);
   ASSERT_TRUE(wrong.empty()) << wrong.front();
   ASSERT_TRUE(file.fleet);
-  EXPECT_EQ(file.fleet->told, file.fleet->address);
+  EXPECT_EQ(file.fleet->advertised, file.fleet->address);
   EXPECT_EQ(file.fleet->seeds.size(), 2u);
-  EXPECT_EQ(file.fleet->interval, 200ms);
-  EXPECT_FALSE(setup::OperatorFile::of_text("", "f", wrong).fleet);
+  EXPECT_EQ(file.fleet->probe_interval, 200ms);
+  EXPECT_FALSE(setup::OperatorFile::parse("", "f", wrong).fleet);
 }
 
 // All faults at once, each with its place and what is allowed.
 TEST(OperatorFile, SaysAllThatIsWrong) {
   std::vector<std::string> wrong;
-  setup::OperatorFile::of_text(
+  setup::OperatorFile::parse(
       "[fleet]\nname = \"a b\"\naddress = \"here\"\nseedz = []\ninterval = \"300\"\nmost = 0\n[other]\n", "f",
       wrong);
   std::sort(wrong.begin(), wrong.end());
@@ -132,7 +132,7 @@
                                "f:7:2: other: unknown"};
   for (std::size_t i = 0; i < wrong.size(); ++i) EXPECT_TRUE(wrong[i].starts_with(begin[i])) << wrong[i];
   wrong.clear();
-  setup::OperatorFile::of_text("[fleet]\nname = \"a\"\nname = \"b\"\n", "f", wrong);
+  setup::OperatorFile::parse("[fleet]\nname = \"a\"\nname = \"b\"\n", "f", wrong);
   ASSERT_EQ(wrong.size(), 1u);
   EXPECT_TRUE(wrong[0].starts_with("f:3:")) << wrong[0];
 }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -13,8 +13,8 @@
 #include "net/http_get.h"
 #include "net/kernel_network.h"
 #include "net/line_buffer.h"
-#include "net/nowhere.h"
-#include "net/wakes.h"
+#include "net/null_network.h"
+#include "net/timer_queue.h"
 
 namespace flintweir::net {
 
@@ -100,7 +100,7 @@
 }
 
 // A network on which no connection comes up.
-class NoConnections : public net::Nowhere {
+class NoConnections : public net::NullNetwork {
  public:
   net::SocketKey connect(const Address&, net::SocketEvents& whom) override {
     asked_ = &whom;
@@ -115,15 +115,15 @@
 // Guards against any failure to connect, such as a machine without free ports or routes, that is taken for
 // proof that the service is down.
 TEST(HttpGet, TellsARefusedConnectionFromOneThatFails) {
-  struct Heard : net::HttpGet::Told {
-    void http_answered(unsigned, std::string&) override {}
+  struct Heard : net::HttpGet::Events {
+    void http_response(unsigned, std::string&) override {}
     void http_failed(const char*, net::RequestFailure how) override { failures.push_back(how); }
     std::vector<net::RequestFailure> failures;
   } heard;
   NoConnections network;
   net::Sockets sockets(network, 10);
-  net::Wakes wakes(network);
-  net::HttpGet get(sockets, wakes, *address_of("127.0.0.1:81"), heard);
+  net::TimerQueue timers(network);
+  net::HttpGet get(sockets, timers, *address_of("127.0.0.1:81"), heard);
   for (const net::ConnectResult result : {net::ConnectResult::failed, net::ConnectResult::refused}) {
     get.get("/", 0s, 1s);
     network.end(result);
@@ -145,14 +145,14 @@
   LineBuffer buffer;
   std::uint8_t in = 0, out = 0;
   for (int i = 0; i < 5000; ++i) {
-    const auto [to, room] = buffer.room();
+    const auto [to, room] = buffer.free_space();
     const std::size_t n = room > 0 ? chance() % (room + 1) : 0;
     for (std::size_t j = 0; j < n; ++j) to[j] = static_cast<char>(in++);
-    buffer.came(n);
-    ASSERT_EQ(buffer.full(), buffer.held().size() == 2 * kLongestLine);
-    const std::size_t taken = chance() % (buffer.held().size() + 1);
-    for (std::size_t j = 0; j < taken; ++j) ASSERT_EQ(static_cast<std::uint8_t>(buffer.held()[j]), out++);
-    buffer.drop(taken);
+    buffer.commit(n);
+    ASSERT_EQ(buffer.full(), buffer.buffered().size() == 2 * kMaxLineBytes);
+    const std::size_t taken = chance() % (buffer.buffered().size() + 1);
+    for (std::size_t j = 0; j < taken; ++j) ASSERT_EQ(static_cast<std::uint8_t>(buffer.buffered()[j]), out++);
+    buffer.consume(taken);
   }
 }
 
@@ -181,44 +181,44 @@
 // A first line is sent from where it lies while more comes in behind it.
 TEST(LineBuffer, KeepsItsPlaceFromTheFront) {
   LineBuffer buffer;
-  std::memcpy(buffer.room().first, "PING\r\nOPEN\r\n", 12);
-  buffer.came(12);
-  buffer.drop(6);
-  buffer.to_front();
+  std::memcpy(buffer.free_space().first, "PING\r\nOPEN\r\n", 12);
+  buffer.commit(12);
+  buffer.consume(6);
+  buffer.compact();
   const std::string_view line = *buffer.line();
   while (!buffer.full()) {
-    const auto [to, room] = buffer.room();
+    const auto [to, room] = buffer.free_space();
     const std::size_t n = std::min<std::size_t>(room, 1000);
     std::memset(to, 'x', n);
-    buffer.came(n);
+    buffer.commit(n);
     ASSERT_EQ(line, "OPEN\r\n");
-    ASSERT_EQ(buffer.held().data(), line.data());
+    ASSERT_EQ(buffer.buffered().data(), line.data());
   }
 }
 
-struct Recorder final : Woken {
+struct Recorder final : TimerEvents {
   std::vector<std::uint64_t> seen;
-  void woken(std::uint64_t token) override { seen.push_back(token); }
+  void timer_expired(std::uint64_t token) override { seen.push_back(token); }
 };
 
-TEST(Wakes, ComeInTheirOrderAndNeverFromWithin) {
+TEST(TimerQueue, ComeInTheirOrderAndNeverFromWithin) {
   KernelNetwork network;
-  Wakes wakes(network);
+  TimerQueue timers(network);
   Recorder seen;
-  struct Again final : Woken {
-    Wakes& wakes;
+  struct Again final : TimerEvents {
+    TimerQueue& timers;
     Recorder& seen;
     int left = 3;
-    Again(Wakes& w, Recorder& s) : wakes(w), seen(s) {}
-    void woken(std::uint64_t) override {
-      if (left-- > 0) wakes.after(0us, *this, 0);  // must not starve what else is due
-      seen.woken(100);
+    Again(TimerQueue& w, Recorder& s) : timers(w), seen(s) {}
+    void timer_expired(std::uint64_t) override {
+      if (left-- > 0) timers.schedule(0us, *this, 0);  // must not starve what else is due
+      seen.timer_expired(100);
     }
-  } again(wakes, seen);
-  wakes.after(20ms, seen, 3);
-  wakes.after(0us, again, 0);
-  wakes.after(0us, seen, 1);
-  wakes.after(10ms, seen, 2);
+  } again(timers, seen);
+  timers.schedule(20ms, seen, 3);
+  timers.schedule(0us, again, 0);
+  timers.schedule(0us, seen, 1);
+  timers.schedule(10ms, seen, 2);
   network.run();
   EXPECT_EQ(seen.seen, (std::vector<std::uint64_t>{100, 1, 100, 100, 100, 2, 3}));
 }
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "setup/values.h"
+#include "setup/json_object.h"
 
 namespace flintweir::benchlink {
 namespace {
@@ -39,7 +39,7 @@
   Wire wire;
   wire.answer(batch(1000, std::string(kConfigure) + "," + kHosts));
   EXPECT_EQ(wire.answer(batch(2000, R"(["DESTROY",3])")), R"({"output":[]})");
-  EXPECT_THROW(wire.answer(batch(3000, R"(["TICK_DUE",3,"0"])")), setup::BadInput);
+  EXPECT_THROW(wire.answer(batch(3000, R"(["TICK_DUE",3,"0"])")), setup::InvalidInput);
 }
 
 // A wrong or missing value among the new settings is one clear line.
@@ -51,11 +51,11 @@
         R"("extraFloor":1,"extraPerRequest":-0.1,"budgetSpan":5000000)",
         R"("extraFloor":1,"extraPerRequest":"few","budgetSpan":5000000)",
         R"("extraFloor":1,"extraPerRequest":0.1,"budgetSpan":0)"})
-    EXPECT_THROW(Wire().answer(batch(1000, configure_with(wrong, "cold"))), setup::BadInput) << wrong;
+    EXPECT_THROW(Wire().answer(batch(1000, configure_with(wrong, "cold"))), setup::InvalidInput) << wrong;
   for (const char* wrong : {R"({"ninesPart":0.2})", R"({"ninesPart":0.2,"ninesWanted":0})",
                             R"({"ninesPart":"much","ninesWanted":3})", R"({"ninesPart":-1,"ninesWanted":3})"})
     EXPECT_THROW(Wire().answer(batch(1000, configure_with("\"goal\":" + std::string(wrong), "listeners"))),
-                 setup::BadInput)
+                 setup::InvalidInput)
         << wrong;
 }
 
@@ -79,7 +79,7 @@
   try {
     wire.answer(GetParam());
     FAIL() << "taken without complaint";
-  } catch (const setup::BadInput& e) {
+  } catch (const setup::InvalidInput& e) {
     EXPECT_GT(std::string(e.what()).size(), 10u);
   }
 }
