--- a/bench/encoding.cpp
+++ b/bench/encoding.cpp
@@ -11,7 +11,7 @@
 using namespace flintweir;
 
 constexpr int kMembers = 1000;
-const Address kAt = *address_of("127.0.0.1:7946");
+const Address kAt = *parse_address("127.0.0.1:7946");
 const members::Sender kFrom{"node-0001", members::Generation{1'700'000'000'000'000}, kAt, 0x1234567890abcdef,
                             1000};
 
--- a/src/address.cpp
+++ b/src/address.cpp
@@ -6,7 +6,7 @@
 
 namespace flintweir {
 
-std::optional<Address> address_of(std::string_view text) {
+std::optional<Address> parse_address(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == text.npos) return std::nullopt;
   const std::string_view digits = text.substr(colon + 1);
@@ -17,16 +17,16 @@
   if (bad_port != std::errc{} || end != digits.data() + digits.size()) return std::nullopt;
   const std::string ended(host);
   if (inet_pton(AF_INET, ended.c_str(), out.bytes.data()) == 1) return out;
-  out.v6 = true;
+  out.is_v6 = true;
   if (inet_pton(AF_INET6, ended.c_str(), out.bytes.data()) == 1) return out;
   return std::nullopt;
 }
 
 std::string to_text(const Address& address) {
   char host[INET6_ADDRSTRLEN] = "";
-  inet_ntop(address.v6 ? AF_INET6 : AF_INET, address.bytes.data(), host, sizeof host);
+  inet_ntop(address.is_v6 ? AF_INET6 : AF_INET, address.bytes.data(), host, sizeof host);
   const std::string port = ':' + std::to_string(address.port);
-  return address.v6 ? '[' + std::string(host) + ']' + port : host + port;
+  return address.is_v6 ? '[' + std::string(host) + ']' + port : host + port;
 }
 
 }  // namespace flintweir
--- a/src/address.h
+++ b/src/address.h
@@ -11,14 +11,14 @@
 namespace flintweir {
 
 struct Address {
-  std::array<std::uint8_t, 16> bytes{};  // the first four where it is not v6
+  std::array<std::uint8_t, 16> bytes{};  // the first four where it is not is_v6
   std::uint16_t port = 0;
-  bool v6 = false;
+  bool is_v6 = false;
   friend auto operator<=>(const Address&, const Address&) = default;
 };
 
 // Reads `a.b.c.d:port` or `[v6]:port`.
-std::optional<Address> address_of(std::string_view text);
+std::optional<Address> parse_address(std::string_view text);
 std::string to_text(const Address& address);  // the same way back
 
 }  // namespace flintweir
--- a/src/changes/datagram.cpp
+++ b/src/changes/datagram.cpp
@@ -16,12 +16,12 @@
 class Writer {
  public:
   Writer(Kind kind, const Sender& from, std::uint32_t fields) : packer_(out_) {
-    bytes_.assign(kHead, '\0');
+    bytes_.assign(kHeaderSize, '\0');
     bytes_[0] = kMark[0], bytes_[1] = kMark[1], bytes_[2] = kVersion, bytes_[3] = static_cast<char>(kind);
     packer_.pack_array(3 + fields);
-    text(packer_, from.fleet);
-    text(packer_, from.name);
-    place(packer_, from.reply_address);
+    pack_text(packer_, from.fleet);
+    pack_text(packer_, from.name);
+    pack_address(packer_, from.reply_address);
   }
   Writer& number(std::uint64_t n) { return packer_.pack(n), *this; }
   Writer& change_id(const ChangeId& w) { return number(w.number.value).number(w.checksum).number(w.size); }
@@ -33,7 +33,7 @@
   }
   std::string done() {
     bytes_.append(out_.data(), out_.size());
-    seal(bytes_);
+    write_checksum(bytes_);
     return std::move(bytes_);
   }
 
@@ -48,16 +48,16 @@
   return static_cast<std::uint32_t>(n);
 }
 
-ChangeId which_of(Fields& f) {
+ChangeId which_of(FieldReader& f) {
   ChangeId out;
-  out.number = ChangeNumber{f.number()};
-  out.checksum = f.number();
-  out.size = small(f.number());
+  out.number = ChangeNumber{f.read_number()};
+  out.checksum = f.read_number();
+  out.size = small(f.read_number());
   if (out.size > kMaxTextBytes) throw Malformed();
   return out;
 }
 
-HeldChanges has_of(Fields& f) {
+HeldChanges has_of(FieldReader& f) {
   HeldChanges out;
   out.newest = which_of(f);
   out.in_force = which_of(f);
@@ -71,11 +71,11 @@
   const msgpack::object_handle whole =
       msgpack::unpack(bytes.data(), bytes.size(), at, nullptr, nullptr, limit);
   if (at != bytes.size()) throw Malformed();
-  Fields f(whole.get());
+  FieldReader f(whole.get());
   Sender from;
-  from.fleet = f.text(kLongestName);
-  from.name = f.text(kLongestName);
-  from.reply_address = f.place();
+  from.fleet = f.read_text(kLongestName);
+  from.name = f.read_text(kLongestName);
+  from.reply_address = f.read_address();
   // Whoever asks need not know the fleet's name.
   if (kind != Kind::ask && !fleet.empty() && from.fleet != fleet) throw Malformed();
   switch (kind) {
@@ -83,20 +83,20 @@
       return hearer.on_have(from, has_of(f));
     case Kind::want: {
       const ChangeId of = which_of(f);
-      return hearer.on_want(from, of, small(f.number()));
+      return hearer.on_want(from, of, small(f.read_number()));
     }
     case Kind::part: {
       const ChangeId of = which_of(f);
-      const std::uint32_t no = small(f.number());
-      return hearer.on_part(from, of, no, f.bytes(kPartBytes));
+      const std::uint32_t no = small(f.read_number());
+      return hearer.on_part(from, of, no, f.read_bytes(kPartBytes));
     }
     case Kind::ask:
-      return hearer.on_query(from, f.number());
+      return hearer.on_query(from, f.read_number());
     case Kind::status: {
-      const std::uint64_t nonce = f.number();
+      const std::uint64_t nonce = f.read_number();
       Status s;
       s.held = has_of(f);
-      s.reason = f.bytes(kMaxReasonBytes);
+      s.reason = f.read_bytes(kMaxReasonBytes);
       return hearer.on_status(from, nonce, s);
     }
   }
@@ -110,17 +110,17 @@
 }
 
 bool is_change_datagram(std::string_view bytes) {
-  return bytes.size() >= kHead && bytes[0] == kMark[0] && bytes[1] == kMark[1];
+  return bytes.size() >= kHeaderSize && bytes[0] == kMark[0] && bytes[1] == kMark[1];
 }
 
 bool decode(std::string_view bytes, std::string_view fleet, MessageHandler& hearer) {
   if (!is_change_datagram(bytes) || bytes.size() > kMaxDatagramBytes || bytes[2] != kVersion ||
-      !sealed(bytes))
+      !has_valid_checksum(bytes))
     return false;
   if (bytes[3] < 1 || bytes[3] > static_cast<char>(Kind::status) || bytes[8] != 0 || bytes[9] != 0)
     return false;
   try {
-    hear(static_cast<Kind>(bytes[3]), bytes.substr(kHead), fleet, hearer);
+    hear(static_cast<Kind>(bytes[3]), bytes.substr(kHeaderSize), fleet, hearer);
   } catch (const Malformed&) {
     return false;
   } catch (const msgpack::unpack_error&) {
--- a/src/lab/checks/interleaving.cpp
+++ b/src/lab/checks/interleaving.cpp
@@ -105,7 +105,7 @@
       lists_[i].listen();
     }
     process_ = std::make_unique<Process>(fabric_, node_machine_, 1000);
-    node_ = std::make_unique<node::Node>(*process_, *node::NodeFile::of_text(config(0)));
+    node_ = std::make_unique<node::Node>(*process_, *node::NodeConfig::from_text(config(0)));
     node_->serve();
   }
   ~Play() {
@@ -227,7 +227,7 @@
       if (c_.event == E::stop) {
         stopped_at_ = now() + when_free();
         reload();
-        for (int i = 0; i < 2; ++i) signal([this] { node_->leave(); });
+        for (int i = 0; i < 2; ++i) signal([this] { node_->shut_down(); });
       }
       return;
     }
@@ -247,7 +247,7 @@
         return;
       case E::stop:
         stopped_at_ = now() + when_free();
-        return signal([this] { node_->leave(); });
+        return signal([this] { node_->shut_down(); });
       case E::reload:
         return reload();
       case E::drain:
@@ -267,7 +267,8 @@
   }
   void reload() {
     signal([this] {
-      node_->reload([this] { return std::pair(node::NodeFile::of_text(config(1)), setup::OperatorFile()); });
+      node_->reload(
+          [this] { return std::pair(node::NodeConfig::from_text(config(1)), setup::OperatorFile()); });
     });
   }
   Micros when_free() const { return c_.busy ? 2 * kPause + 1us : 0us; }
--- a/src/lab/fleet/hollow.cpp
+++ b/src/lab/fleet/hollow.cpp
@@ -16,7 +16,7 @@
 #include "net/log.h"
 #include "net/null_network.h"
 #include "net/timer_queue.h"
-#include "node/peers.h"
+#include "node/fleet_member.h"
 
 namespace flintweir::lab {
 namespace {
@@ -67,7 +67,7 @@
       : network(loop, all, std::move(passes)), timers(network) {}
   Lossy network;
   net::TimerQueue timers;
-  std::unique_ptr<node::Peers> peers;
+  std::unique_ptr<node::FleetMember> peers;
   std::uint64_t sent_before = 0;
 };
 
@@ -181,10 +181,10 @@
     numbers_[place(i)] = i;
     auto m =
         std::make_unique<Member>(loop_, all_sent_, [this, i](const Address& to) { return passes(i, to); });
-    m->peers = std::make_unique<node::Peers>(m->network, m->timers, section(i), "h" + std::to_string(i),
-                                             "lab", mix(i * 77 + 5), [](unsigned) {});
-    m->peers->carry({}, [](const changes::Change&) { return std::string(); });
-    m->peers->begin();
+    m->peers = std::make_unique<node::FleetMember>(m->network, m->timers, section(i), "h" + std::to_string(i),
+                                                   "lab", mix(i * 77 + 5), [](unsigned) {});
+    m->peers->enable_changes({}, [](const changes::Change&) { return std::string(); });
+    m->peers->start();
     members_[i] = std::move(m);
   }
   void start_again(const std::vector<unsigned>& which) {
@@ -250,7 +250,7 @@
       if (m) {
         ++hollow;
         ++digests[m->peers->digest()];
-        whole += m->peers->acting() >= of;
+        whole += m->peers->active_nodes() >= of;
       }
     unsigned most = 0;
     for (const auto& [d, n] : digests) most = std::max(most, n);
--- a/src/lab/fleet/rig_virtual.cpp
+++ b/src/lab/fleet/rig_virtual.cpp
@@ -95,12 +95,12 @@
                                            section(at, seeds).seeds, interval_, mix(seed_ * 4096 + starts_));
     return u.plain->begin();
   }
-  u.peers = std::make_unique<node::Peers>(*u.process, *u.timers, section(at, seeds), name, "lab",
-                                          mix(seed_ * 4096 + starts_), [](unsigned) {});
-  if (leases_) u.peers->vote(*leases_);
-  if (carries_) u.peers->carry({}, [at](const changes::Change& c) { return fits(c, at.node); });
+  u.peers = std::make_unique<node::FleetMember>(*u.process, *u.timers, section(at, seeds), name, "lab",
+                                                mix(seed_ * 4096 + starts_), [](unsigned) {});
+  if (leases_) u.peers->enable_voting(*leases_);
+  if (carries_) u.peers->enable_changes({}, [at](const changes::Change& c) { return fits(c, at.node); });
   called_ = at;
-  u.peers->begin();
+  u.peers->start();
   called_.reset();
 }
 
--- a/src/lab/fleet/rig_virtual.h
+++ b/src/lab/fleet/rig_virtual.h
@@ -9,7 +9,7 @@
 #include "lab/fleet/rig_stage.h"
 #include "lab/network/fabric.h"
 #include "net/log.h"
-#include "node/peers.h"
+#include "node/fleet_member.h"
 
 namespace flintweir::lab {
 
@@ -55,7 +55,7 @@
   struct Unit {
     std::unique_ptr<Process> process;
     std::unique_ptr<net::TimerQueue> timers;
-    std::unique_ptr<node::Peers> peers;  // or
+    std::unique_ptr<node::FleetMember> peers;  // or
     std::unique_ptr<PlainPeers> plain;
     std::vector<std::string> log;
     std::uint64_t start = 0;  // of this stage's
--- a/src/lab/leases/lease_rig.cpp
+++ b/src/lab/leases/lease_rig.cpp
@@ -12,7 +12,7 @@
 
 #include "lab/fleet/rig_loopback.h"
 #include "lab/fleet/rig_virtual.h"
-#include "node/holder.h"
+#include "node/lease_holder.h"
 #include "numbers.h"
 
 namespace flintweir::lab {
@@ -206,7 +206,7 @@
     const RigPlace at{kVoters + h, 0};
     stage_.start_bare(at);
     holders_[h] = std::make_unique<One>(*this, h, ++pids_);
-    holders_[h]->holder.begin();
+    holders_[h]->holder.start();
   }
   void kill_holder(unsigned h) override {
     holders_.erase(h);
@@ -220,7 +220,7 @@
   std::map<std::uint64_t, std::set<unsigned>> held() override { return held_; }
 
  private:
-  struct One final : node::Holder::Told, net::TimerEvents {
+  struct One final : node::LeaseHolder::Events, net::TimerEvents {
     One(Virtual& of, unsigned h, int pid)
         : of(of),
           h(h),
@@ -229,25 +229,25 @@
           holder(of.stage_.process({kVoters + h, 0}), timers, of.own_, kLease,
                  "h" + std::to_string(h) + '/' + std::to_string(pid), of.stage_.hears_at({kVoters + h, 0}),
                  std::nullopt, mix(of.seed_ * 1024 + static_cast<std::uint64_t>(pid)), *this) {}
-    void held(leases::Token t) override {
+    void lease_acquired(leases::Token t) override {
       of.held_[t.value].insert(h);
       token = t.value;
       if (!std::exchange(waked, true)) timers.schedule(1ms, *this, 0);
     }
-    void lost(leases::Token, std::string_view) override { token = 0; }
-    void waits(std::string_view) override {}
+    void lease_lost(leases::Token, std::string_view) override { token = 0; }
+    void lease_awaited(std::string_view) override {}
     void leave() {
       leaves = true;
-      if (acting == 0) holder.let_go();
+      if (acting == 0) holder.release();
     }
     void timer_expired(std::uint64_t) override {
       if (acting != 0) {
         of.ledger_.end(std::exchange(acting, 0), pid);
-        if (leaves) return holder.let_go();
+        if (leaves) return holder.release();
         return timers.schedule(kActTakes / 6, *this, 0);
       }
       // Only where it fits into what is left, by a clock that may be fast.
-      if (token != 0 && !leaves && holder.left() > kActTakes + kActTakes / 50 &&
+      if (token != 0 && !leaves && holder.time_left() > kActTakes + kActTakes / 50 &&
           of.ledger_.begin({token, static_cast<int>(h), pid}))
         acting = token;
       timers.schedule(kActTakes, *this, 0);
@@ -258,7 +258,7 @@
     net::TimerQueue& timers;
     std::uint64_t token = 0, acting = 0;
     bool waked = false, leaves = false;
-    node::Holder holder;
+    node::LeaseHolder holder;
   };
 
   Ledger& ledger_;
@@ -452,7 +452,7 @@
 
 int act_on_ledger(const std::string& ledger, const std::string& as) {
   const char* const token = std::getenv("FLINTWEIR_TOKEN");
-  const auto at = address_of(ledger);
+  const auto at = parse_address(ledger);
   if (!token || !at) return 2;
   std::signal(SIGTERM, [](int) { told_to_end = 1; });
   struct Answer final : net::DatagramEvents {
--- a/src/lab/network/fabric.cpp
+++ b/src/lab/network/fabric.cpp
@@ -216,7 +216,7 @@
 void Fabric::carry(MachineNo from, std::uint16_t port, const Address& to, std::string_view bytes) {
   const std::uint32_t n = static_cast<std::uint32_t>(to.bytes[1]) << 16 |
                           static_cast<std::uint32_t>(to.bytes[2]) << 8 | to.bytes[3];
-  if (to.v6 || to.bytes[0] != 10 || n == 0 || n > machines_.size()) return;
+  if (to.is_v6 || to.bytes[0] != 10 || n == 0 || n > machines_.size()) return;
   const MachineNo there{n - 1};
   if (blocked(from, there)) return;
   const Post* const way = post_of_ ? post_of_(from, there, bytes.size()) : nullptr;
--- a/src/lab/network/virtual_stage.cpp
+++ b/src/lab/network/virtual_stage.cpp
@@ -13,7 +13,7 @@
 }  // namespace
 
 VirtualStage::VirtualStage(Carriage carriage, std::uint64_t seed, std::size_t descriptors,
-                           node::MakeBalancer make, std::string* logged)
+                           node::BalancerFactory make, std::string* logged)
     : carriage_(carriage),
       timeline_(kStart),
       fabric_(timeline_, carriage, seed),
@@ -57,14 +57,15 @@
                               const std::vector<MachineNo>& seeds) {
   NodeAt& n = nodes_[node.value];
   n.process = std::make_unique<Process>(fabric_, machine, descriptors_);
-  n.node = std::make_unique<node::Node>(*n.process, *node::NodeFile::of_text(config), make_);
+  n.node = std::make_unique<node::Node>(*n.process, *node::NodeConfig::from_text(config), make_);
   if (!seeds.empty()) {
     const auto hears = [](MachineNo m) { return Fabric::address(m, 7946); };
     setup::OperatorFile own;
     setup::FleetSection& fleet = own.fleet.emplace(
         setup::FleetSection{"lab", "", hears(machine), hears(machine), {}, 300ms, 1h, 4096});
     for (const MachineNo s : seeds) fleet.seeds.push_back(hears(s));
-    n.node->join(own, "n" + std::to_string(node.value), "lab", machine.value + std::uint64_t(now().count()));
+    n.node->join_fleet(own, "n" + std::to_string(node.value), "lab",
+                       machine.value + std::uint64_t(now().count()));
   }
   n.node->serve();
 }
@@ -78,13 +79,13 @@
 }
 
 void VirtualStage::leave_node(NodeNo node) {
-  if (running(node)) nodes_[node.value].node->leave();
+  if (running(node)) nodes_[node.value].node->shut_down();
 }
 
 void VirtualStage::reload_node(NodeNo node, const std::string& config) {
   if (running(node))
     nodes_[node.value].node->reload(
-        [&] { return std::pair(node::NodeFile::of_text(config), setup::OperatorFile()); });
+        [&] { return std::pair(node::NodeConfig::from_text(config), setup::OperatorFile()); });
 }
 
 bool VirtualStage::running(NodeNo node) {
--- a/src/lab/network/virtual_stage.h
+++ b/src/lab/network/virtual_stage.h
@@ -13,7 +13,7 @@
 class VirtualStage final : public Stage, net::LogSink {
  public:
   // `descriptors`: that a node's process may hold. What nodes log goes to `logged`, unless that is null.
-  VirtualStage(Carriage carriage, std::uint64_t seed, std::size_t descriptors, node::MakeBalancer make,
+  VirtualStage(Carriage carriage, std::uint64_t seed, std::size_t descriptors, node::BalancerFactory make,
                std::string* logged);
   ~VirtualStage() override;
 
@@ -54,7 +54,7 @@
   Timeline timeline_;
   Fabric fabric_;
   std::size_t descriptors_;
-  node::MakeBalancer make_;
+  node::BalancerFactory make_;
   std::string* logged_;
   std::vector<ZoneNo> zones_;       // of machines
   std::vector<Micros> lost_until_;  // of machines: the end of their last loss
--- a/src/lease_command.cpp
+++ b/src/lease_command.cpp
@@ -15,7 +15,7 @@
 
 #include "net/kernel_network.h"
 #include "net/log.h"
-#include "node/holder.h"
+#include "node/lease_holder.h"
 
 namespace flintweir {
 namespace {
@@ -34,7 +34,7 @@
   return out;
 }
 
-class Hold final : node::Holder::Told, net::TimerEvents {
+class Hold final : node::LeaseHolder::Events, net::TimerEvents {
  public:
   Hold(const setup::OperatorFile& own, const std::string& lease, const Address& from,
        std::optional<Address> told, const std::vector<std::string>& command)
@@ -46,7 +46,7 @@
                 random_seed(), *this) {}
 
   int run() {
-    holder_.begin();
+    holder_.start();
     network_.handle_signals({SIGTERM, SIGINT, SIGCHLD},
                             [this](int number) { number == SIGCHLD ? reap() : end_by(number); });
     network_.run();
@@ -54,22 +54,22 @@
   }
 
  private:
-  void held(Token token) override {
+  void lease_acquired(Token token) override {
     // Guards against a second command beside one that was told to end and has not yet.
-    if (child_ != 0) return holder_.let_go();
+    if (child_ != 0) return holder_.release();
     net::log_line("lease: held name=%s token=%llu", lease_.c_str(),
                   static_cast<unsigned long long>(token.value));
     start(token);
     timers_.schedule(length_ / kLooks, *this, 0);
   }
-  void lost(Token token, std::string_view why) override {
+  void lease_lost(Token token, std::string_view why) override {
     net::log_line("lease: lost name=%s token=%llu why=\"%.*s\"", lease_.c_str(),
                   static_cast<unsigned long long>(token.value), static_cast<int>(why.size()), why.data());
     if (child_ == 0) return;
     lost_ = true;
     kill(-child_, SIGKILL);
   }
-  void waits(std::string_view why) override {
+  void lease_awaited(std::string_view why) override {
     net::log_line("lease: waits name=%s why=\"%.*s\"", lease_.c_str(), static_cast<int>(why.size()),
                   why.data());
   }
@@ -101,7 +101,7 @@
   void timer_expired(std::uint64_t what) override {
     if (child_ == 0) return;
     if (what == kEndsNow) return void(kill(-child_, SIGKILL));
-    const Micros left = holder_.left();
+    const Micros left = holder_.time_left();
     if (child_ != 0 && left < length_ / kTerm && !std::exchange(told_to_end_, true)) {
       net::log_line("lease: not renewed name=%s left_ms=%lld; ending the command", lease_.c_str(),
                     static_cast<long long>(left.count() / 1000));
@@ -131,7 +131,7 @@
 
   void finish(int status) {
     status_ = status;
-    holder_.let_go();
+    holder_.release();
     network_.stop();
   }
 
@@ -144,7 +144,7 @@
   pid_t child_ = 0;
   int status_ = 0;
   bool told_to_end_ = false, lost_ = false;
-  node::Holder holder_;
+  node::LeaseHolder holder_;
 };
 
 // Asks all voters for what they have granted.
@@ -188,7 +188,7 @@
     network_.send_datagram(*at, writer.finish());
   }
   void datagram_pending() override {
-    node::hear_post(network_, *this, *this, places_);
+    node::receive_datagrams(network_, *this, *this, places_);
     network_.stop();
   }
   void on_lease_status(const leases::Sender& from, const leases::LeaseStatus& s) override {
@@ -211,7 +211,7 @@
   const setup::OperatorFile& own_;
   net::KernelNetwork network_;
   Address here_;
-  node::VoterPlaces places_;
+  node::VoterAddresses places_;
   std::map<std::size_t, std::string> after_;
   std::set<std::size_t> whole_;
   std::map<std::string, Row> rows_;
@@ -222,8 +222,8 @@
 int lease_hold(const setup::OperatorFile& own, const std::string& lease, const std::string& from,
                const std::string& told, const std::vector<std::string>& command) {
   Address here = beside(own.fleet->address);
-  if (!from.empty()) here = address_of(from).value_or(here);
-  Hold hold(own, lease, here, told.empty() ? std::nullopt : address_of(told), command);
+  if (!from.empty()) here = parse_address(from).value_or(here);
+  Hold hold(own, lease, here, told.empty() ? std::nullopt : parse_address(told), command);
   return hold.run();
 }
 
--- a/src/leases/datagram.cpp
+++ b/src/leases/datagram.cpp
@@ -26,43 +26,43 @@
   const auto next = [&]() -> const msgpack::object& {
     return kept.emplace_back(msgpack::unpack(bytes.data(), bytes.size(), at, nullptr, nullptr, limit)).get();
   };
-  Fields head(next());
+  FieldReader head(next());
   Sender from;
-  from.voter_set = head.number();
-  from.name = head.text(kMaxParticipantBytes);
-  from.reply_to = head.place();
-  const bool last = kind == DatagramWriter::Kind::status_page && head.number() != 0;
+  from.voter_set = head.read_number();
+  from.name = head.read_text(kMaxParticipantBytes);
+  from.reply_to = head.read_address();
+  const bool last = kind == DatagramWriter::Kind::status_page && head.read_number() != 0;
   std::vector<Request> requests;
   std::vector<Reply> replies;
   std::vector<LeaseStatus> shown;
   for (std::size_t items = 0; at < bytes.size(); ++items) {
     if (items == kMostItems) throw Malformed();
-    Fields f(next());
+    FieldReader f(next());
     if (kind == DatagramWriter::Kind::requests) {
       Request r;
-      r.kind = one_of(f.number(), RequestKind::query);
-      r.lease = f.text(kMaxLeaseNameBytes);
-      r.token = Token{f.number()};
-      r.round = Round{f.number()};
-      r.duration = micros(f.number());
+      r.kind = one_of(f.read_number(), RequestKind::query);
+      r.lease = f.read_text(kMaxLeaseNameBytes);
+      r.token = Token{f.read_number()};
+      r.round = Round{f.read_number()};
+      r.duration = micros(f.read_number());
       requests.push_back(r);
     } else if (kind == DatagramWriter::Kind::replies) {
       Reply r;
-      r.kind = one_of(f.number(), ReplyKind::queued);
-      r.lease = f.text(kMaxLeaseNameBytes);
-      r.token = Token{f.number()};
-      r.round = Round{f.number()};
-      r.highest_promised = Token{f.number()};
-      r.holder = f.text(kMaxParticipantBytes);
-      r.remaining = micros(f.number());
+      r.kind = one_of(f.read_number(), ReplyKind::queued);
+      r.lease = f.read_text(kMaxLeaseNameBytes);
+      r.token = Token{f.read_number()};
+      r.round = Round{f.read_number()};
+      r.highest_promised = Token{f.read_number()};
+      r.holder = f.read_text(kMaxParticipantBytes);
+      r.remaining = micros(f.read_number());
       replies.push_back(r);
     } else {
       LeaseStatus s;
-      s.lease = f.text(kMaxLeaseNameBytes);
-      s.holder = f.text(kMaxParticipantBytes);
-      s.token = Token{f.number()};
-      s.remaining = micros(f.number());
-      s.waiting = static_cast<std::uint32_t>(f.number());
+      s.lease = f.read_text(kMaxLeaseNameBytes);
+      s.holder = f.read_text(kMaxParticipantBytes);
+      s.token = Token{f.read_number()};
+      s.remaining = micros(f.read_number());
+      s.waiting = static_cast<std::uint32_t>(f.read_number());
       shown.push_back(s);
     }
   }
@@ -83,17 +83,18 @@
 }
 
 bool is_lease_datagram(std::string_view bytes) {
-  return bytes.size() >= kHead && bytes[0] == kMark[0] && bytes[1] == kMark[1];
+  return bytes.size() >= kHeaderSize && bytes[0] == kMark[0] && bytes[1] == kMark[1];
 }
 
 bool decode(std::string_view bytes, DatagramHandler& handler) {
-  if (!is_lease_datagram(bytes) || bytes.size() > kMaxDatagramBytes || bytes[2] != kVersion || !sealed(bytes))
+  if (!is_lease_datagram(bytes) || bytes.size() > kMaxDatagramBytes || bytes[2] != kVersion ||
+      !has_valid_checksum(bytes))
     return false;
   if (bytes[3] < 1 || bytes[3] > static_cast<char>(DatagramWriter::Kind::status_page) || bytes[8] != 0 ||
       bytes[9] != 0)
     return false;
   try {
-    hear(static_cast<DatagramWriter::Kind>(bytes[3]), bytes.substr(kHead), handler);
+    hear(static_cast<DatagramWriter::Kind>(bytes[3]), bytes.substr(kHeaderSize), handler);
   } catch (const Malformed&) {
     return false;
   } catch (const msgpack::unpack_error&) {
@@ -103,14 +104,14 @@
 }
 
 DatagramWriter::DatagramWriter(Kind kind, const Sender& sender) {
-  bytes_.assign(kHead, '\0');
+  bytes_.assign(kHeaderSize, '\0');
   bytes_[0] = kMark[0], bytes_[1] = kMark[1], bytes_[2] = kVersion, bytes_[3] = static_cast<char>(kind);
   msgpack::sbuffer out;
   Packer p(out);
   p.pack_array(kind == Kind::status_page ? 4 : 3);
   p.pack(sender.voter_set);
-  text(p, sender.name);
-  place(p, sender.reply_to);
+  pack_text(p, sender.name);
+  pack_address(p, sender.reply_to);
   append({out.data(), out.size()});
 }
 
@@ -132,7 +133,7 @@
   Packer p(out);
   p.pack_array(5);
   p.pack(static_cast<std::uint8_t>(r.kind));
-  text(p, r.lease);
+  pack_text(p, r.lease);
   p.pack(r.token.value);
   p.pack(r.round.value);
   p.pack(number(r.duration));
@@ -144,11 +145,11 @@
   Packer p(out);
   p.pack_array(7);
   p.pack(static_cast<std::uint8_t>(r.kind));
-  text(p, r.lease);
+  pack_text(p, r.lease);
   p.pack(r.token.value);
   p.pack(r.round.value);
   p.pack(r.highest_promised.value);
-  text(p, r.holder);
+  pack_text(p, r.holder);
   p.pack(number(r.remaining));
   return append({out.data(), out.size()});
 }
@@ -157,8 +158,8 @@
   msgpack::sbuffer out;
   Packer p(out);
   p.pack_array(5);
-  text(p, s.lease);
-  text(p, s.holder);
+  pack_text(p, s.lease);
+  pack_text(p, s.holder);
   p.pack(s.token.value);
   p.pack(number(s.remaining));
   p.pack(s.waiting);
@@ -166,7 +167,7 @@
 }
 
 std::string_view DatagramWriter::finish() {
-  seal(bytes_);
+  write_checksum(bytes_);
   return bytes_;
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -16,7 +16,7 @@
 #include "net/kernel_network.h"
 #include "net/null_network.h"
 #include "node/node.h"
-#include "plain_text.h"
+#include "printable_token.h"
 #include "view_client.h"
 
 namespace {
@@ -65,8 +65,8 @@
   return value ? value : "";
 }
 
-std::unique_ptr<flintweir::node::NodeFile> node_file(const std::string& path) {
-  return std::make_unique<flintweir::node::NodeFile>(path, given("EDGE_LISTEN"), given("EDGE_DISCOVERY"));
+std::unique_ptr<flintweir::node::NodeConfig> node_file(const std::string& path) {
+  return std::make_unique<flintweir::node::NodeConfig>(path, given("EDGE_LISTEN"), given("EDGE_DISCOVERY"));
 }
 
 flintweir::setup::OperatorFile operator_file(const std::string& path) {
@@ -75,11 +75,11 @@
 }
 
 // As the files say; the node serves nobody yet.
-void set_up(flintweir::node::Node& node, const flintweir::node::NodeFile& file,
+void set_up(flintweir::node::Node& node, const flintweir::node::NodeConfig& file,
             const flintweir::setup::OperatorFile& own) {
   if (!own.fleet) return;
   const std::string name = given("EDGE_NAME");
-  node.join(own, name.empty() ? file.name() : name, kVersion, file.seed());
+  node.join_fleet(own, name.empty() ? file.name() : name, kVersion, file.seed());
 }
 
 int serve(const std::string& config, const std::string& own) {
@@ -91,7 +91,7 @@
   set_up(node, *file, operator_file(own));
   // Before anybody can be taken: a signal that came in between would end the program with its clients.
   network.handle_signals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
-    if (signal != SIGHUP) return node.leave();
+    if (signal != SIGHUP) return node.shut_down();
     node.reload([&] { return std::pair(node_file(config), operator_file(own)); });
   });
   node.serve();
@@ -117,7 +117,7 @@
 }
 
 int members(const std::string& at, bool json, bool watch) {
-  const auto address = flintweir::address_of(at);
+  const auto address = flintweir::parse_address(at);
   if (!address) return wrong_use("--at has to be an address with a port, as in fleet.address");
   flintweir::ViewClient client(*address);
   for (;;) {
@@ -140,10 +140,10 @@
   if ((what == "hold" && words.size() < 4) || (what == "show" && words.size() != 3) ||
       (what == "list" && words.size() != 2))
     return wrong_use("lease " + what + ": wrong number of words");
-  if (name.size() > flintweir::leases::kMaxLeaseNameBytes || !flintweir::is_plain(name))
+  if (name.size() > flintweir::leases::kMaxLeaseNameBytes || !flintweir::is_printable_token(name))
     return wrong_use("lease: a name has at most 64 printable characters without blanks and quotes");
   for (const std::string& a : {from, told})
-    if (!a.empty() && !flintweir::address_of(a)) return wrong_use("'" + a + "' is no address with a port");
+    if (!a.empty() && !flintweir::parse_address(a)) return wrong_use("'" + a + "' is no address with a port");
   if (own.empty()) return wrong_use("no operator's file: name one with --operator or EDGE_OPERATOR");
   try {
     const auto file = operator_file(own);
@@ -162,7 +162,7 @@
   const std::string what = words.size() > 1 ? words[1] : "";
   if ((what != "put" || words.size() != 3) && (what != "show" || words.size() != 2))
     return wrong_use("change takes 'put FILE' or 'show'");
-  const auto address = flintweir::address_of(at);
+  const auto address = flintweir::parse_address(at);
   if (!at.empty() && !address) return wrong_use("--at has to be an address with a port, as in fleet.address");
   if (what == "show" && !address) return wrong_use("no node to ask: name one with --at");
   try {
--- a/src/members/datagram.cpp
+++ b/src/members/datagram.cpp
@@ -19,22 +19,22 @@
 };
 
 Said update_of(const msgpack::object& o) {
-  Fields f(o);
+  FieldReader f(o);
   Said out;
   MemberUpdate& w = out.update;
-  w.name = f.text(kMaxNameBytes);
-  w.generation = Generation{f.number()};
-  const std::uint64_t incarnation = f.number(), state = f.number();
+  w.name = f.read_text(kMaxNameBytes);
+  w.generation = Generation{f.read_number()};
+  const std::uint64_t incarnation = f.read_number(), state = f.read_number();
   if (w.name.empty() || incarnation > UINT32_MAX || state > static_cast<std::uint64_t>(MemberState::left))
     throw Malformed();
   w.incarnation = static_cast<std::uint32_t>(incarnation);
   w.state = static_cast<MemberState>(state);
-  w.address = f.place();
-  w.zone = f.text(kMaxZoneBytes);
-  w.version = f.text(kMaxVersionBytes);
-  w.metadata = f.bytes(kMaxMetadataBytes);
-  w.reported_by = f.text(kMaxNameBytes);
-  if (f.more()) out.age = Micros{static_cast<std::int64_t>(f.number() & INT64_MAX)};
+  w.address = f.read_address();
+  w.zone = f.read_text(kMaxZoneBytes);
+  w.version = f.read_text(kMaxVersionBytes);
+  w.metadata = f.read_bytes(kMaxMetadataBytes);
+  w.reported_by = f.read_text(kMaxNameBytes);
+  if (f.has_more()) out.age = Micros{static_cast<std::int64_t>(f.read_number() & INT64_MAX)};
   return out;
 }
 
@@ -45,17 +45,17 @@
   const auto next = [&]() -> const msgpack::object& {
     return kept.emplace_back(msgpack::unpack(bytes.data(), bytes.size(), at, nullptr, nullptr, limit)).get();
   };
-  Fields head(next());
+  FieldReader head(next());
   // Whoever asks for a view need not know the fleet's name.
-  if (head.text(kMaxNameBytes) != fleet && kind != MessageKind::view_query && !fleet.empty())
+  if (head.read_text(kMaxNameBytes) != fleet && kind != MessageKind::view_query && !fleet.empty())
     throw DecodeError::fleet;
   Sender from;
-  from.name = head.text(kMaxNameBytes);
-  from.generation = Generation{head.number()};
-  from.address = head.place();
-  from.digest = head.number();
-  from.weight = static_cast<std::uint32_t>(std::min<std::uint64_t>(head.number(), UINT32_MAX));
-  const Nonce nonce{head.number()};
+  from.name = head.read_text(kMaxNameBytes);
+  from.generation = Generation{head.read_number()};
+  from.address = head.read_address();
+  from.digest = head.read_number();
+  from.weight = static_cast<std::uint32_t>(std::min<std::uint64_t>(head.read_number(), UINT32_MAX));
+  const Nonce nonce{head.read_number()};
   from.from_sync = kind == MessageKind::sync_updates;
   if (from.name.empty() != (kind == MessageKind::view_query)) throw Malformed();
   std::string_view whom;
@@ -63,15 +63,15 @@
   std::uint64_t number = 0;
   std::array<std::uint64_t, kDigestBuckets> digests{};
   if (kind == MessageKind::ping_request) {
-    whom = head.text(kMaxNameBytes);
-    place = head.place();
+    whom = head.read_text(kMaxNameBytes);
+    place = head.read_address();
   } else if (kind == MessageKind::sync_digest) {
-    number = head.number();
-    for (std::uint64_t& d : digests) d = head.number();
+    number = head.read_number();
+    for (std::uint64_t& d : digests) d = head.read_number();
   } else if (kind == MessageKind::name_claim || kind == MessageKind::view_page) {
-    number = head.number();
+    number = head.read_number();
   } else if (kind == MessageKind::view_query) {
-    whom = head.text(kMaxNameBytes);
+    whom = head.read_text(kMaxNameBytes);
   }
   std::vector<Said> words;
   while (at < bytes.size()) {
@@ -113,15 +113,15 @@
 }
 
 DecodeError decode(std::string_view bytes, std::string_view fleet, DatagramHandler& handler) {
-  if (bytes.size() < kHead || bytes.size() > kMaxDatagramBytes) return DecodeError::size;
+  if (bytes.size() < kHeaderSize || bytes.size() > kMaxDatagramBytes) return DecodeError::size;
   if (bytes[0] != kMark[0] || bytes[1] != kMark[1]) return DecodeError::mark;
   if (static_cast<std::uint8_t>(bytes[2]) != kProtocolVersion) return DecodeError::version;
-  if (!sealed(bytes)) return DecodeError::checksum;
+  if (!has_valid_checksum(bytes)) return DecodeError::checksum;
   const auto kind = static_cast<std::uint8_t>(bytes[3]);
   if (kind < 1 || kind > static_cast<std::uint8_t>(MessageKind::sync_updates)) return DecodeError::malformed;
   if (bytes[8] != 0 || bytes[9] != 0) return DecodeError::malformed;  // sealed: this version knows no seals
   try {
-    hear(static_cast<MessageKind>(kind), bytes.substr(kHead), fleet, handler);
+    hear(static_cast<MessageKind>(kind), bytes.substr(kHeaderSize), fleet, handler);
   } catch (const Malformed&) {
     return DecodeError::malformed;
   } catch (const msgpack::unpack_error&) {
@@ -133,7 +133,7 @@
 }
 
 DatagramWriter::DatagramWriter(MessageKind kind, std::string_view fleet, const Sender& from, Nonce nonce) {
-  bytes_.assign(kHead, '\0');
+  bytes_.assign(kHeaderSize, '\0');
   bytes_[0] = kMark[0];
   bytes_[1] = kMark[1];
   bytes_[2] = static_cast<char>(kProtocolVersion);
@@ -142,10 +142,10 @@
   msgpack::sbuffer out(kMaxDatagramBytes);
   Packer p(out);
   p.pack_array(kOwnFields[static_cast<std::size_t>(kind)]);
-  text(p, fleet);
-  text(p, from.name);
+  pack_text(p, fleet);
+  pack_text(p, from.name);
   p.pack(from.generation.value);
-  place(p, from.address);
+  pack_address(p, from.address);
   p.pack(from.digest);
   p.pack(from.weight);
   p.pack(nonce.value);
@@ -161,8 +161,8 @@
 DatagramWriter& DatagramWriter::ping_request(std::string_view whom, const Address& at) {
   msgpack::sbuffer out;
   Packer p(out);
-  text(p, whom);
-  place(p, at);
+  pack_text(p, whom);
+  pack_address(p, at);
   append({out.data(), out.size()});
   return *this;
 }
@@ -187,7 +187,7 @@
 DatagramWriter& DatagramWriter::view_query(std::string_view after) {
   msgpack::sbuffer out;
   Packer p(out);
-  text(p, after);
+  pack_text(p, after);
   append({out.data(), out.size()});
   return *this;
 }
@@ -204,16 +204,16 @@
 void pack_update(msgpack::sbuffer& out, const MemberUpdate& w, std::optional<Micros> age) {
   Packer p(out);
   p.pack_array(age ? 10 : 9);
-  text(p, w.name);
+  pack_text(p, w.name);
   p.pack(w.generation.value);
   p.pack(w.incarnation);
   p.pack(static_cast<std::uint8_t>(w.state));
-  place(p, w.address);
-  text(p, w.zone);
-  text(p, w.version);
+  pack_address(p, w.address);
+  pack_text(p, w.zone);
+  pack_text(p, w.version);
   p.pack_bin(static_cast<std::uint32_t>(w.metadata.size()));
   p.pack_bin_body(w.metadata.data(), static_cast<std::uint32_t>(w.metadata.size()));
-  text(p, w.reported_by);
+  pack_text(p, w.reported_by);
   if (age) p.pack(static_cast<std::uint64_t>(std::max<std::int64_t>(age->count(), 0)));
 }
 
@@ -231,10 +231,10 @@
   return append({out.data(), out.size()});
 }
 
-void write_checksum(std::string& bytes) { packing::seal(bytes); }
+void write_checksum(std::string& bytes) { packing::write_checksum(bytes); }
 
 std::string_view DatagramWriter::finish() {
-  packing::seal(bytes_);
+  packing::write_checksum(bytes_);
   return bytes_;
 }
 
--- a/src/net/kernel_network.cpp
+++ b/src/net/kernel_network.cpp
@@ -15,7 +15,7 @@
 
 template <class Protocol>
 typename Protocol::endpoint endpoint(const Address& a) {
-  if (a.v6) return {asio::ip::address_v6(a.bytes), a.port};
+  if (a.is_v6) return {asio::ip::address_v6(a.bytes), a.port};
   return {asio::ip::address_v4({a.bytes[0], a.bytes[1], a.bytes[2], a.bytes[3]}), a.port};
 }
 
@@ -23,8 +23,8 @@
 Address address(const Endpoint& e) {
   Address out;
   out.port = e.port();
-  out.v6 = e.address().is_v6();
-  if (out.v6) {
+  out.is_v6 = e.address().is_v6();
+  if (out.is_v6) {
     out.bytes = e.address().to_v6().to_bytes();
   } else {
     const auto four = e.address().to_v4().to_bytes();
--- a/src/node/changing.cpp
+++ b/src/node/change_distributor.cpp
@@ -1,4 +1,4 @@
-#include "node/changing.h"
+#include "node/change_distributor.h"
 
 #include <cstdio>
 #include <stdexcept>
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-std::string to_file(const changes::Change& change) {
+std::string encode_change_file(const changes::Change& change) {
   char head[80];
   std::snprintf(head, sizeof head, "flintweir-change 1 %llu %016llx\n",
                 static_cast<unsigned long long>(change.number.value),
@@ -22,7 +22,7 @@
   return head + change.text;
 }
 
-std::optional<changes::Change> of_file(std::string_view text) {
+std::optional<changes::Change> decode_change_file(std::string_view text) {
   const std::size_t end = text.find('\n');
   unsigned long long number = 0, sum = 0;
   if (end == text.npos || std::sscanf(std::string(text.substr(0, end)).c_str(),
@@ -34,9 +34,10 @@
   return out;
 }
 
-Changing::Changing(net::Network& network, net::TimerQueue& timers, members::View& view,
-                   const setup::FleetSection& fleet, const setup::ChangesSection& changes, std::string name,
-                   std::uint64_t seed, std::function<std::string(const changes::Change&)> take)
+ChangeDistributor::ChangeDistributor(net::Network& network, net::TimerQueue& timers, members::View& view,
+                                     const setup::FleetSection& fleet, const setup::ChangesSection& changes,
+                                     std::string name, std::uint64_t seed,
+                                     std::function<std::string(const changes::Change&)> take)
     : network_(network),
       timers_(timers),
       view_(view),
@@ -50,7 +51,7 @@
   for (const char* name : {kInForce, kRefused}) {
     const auto text = disk_.read(name);
     if (!text) continue;
-    auto kept = of_file(*text);
+    auto kept = decode_change_file(*text);
     if (!kept)
       net::log_line("change: the file %s in %s is not whole, left alone", name, folder_.c_str());
     else if (kept_.empty() || change_id(*kept) > change_id(kept_.back()))
@@ -58,30 +59,30 @@
   }
 }
 
-void Changing::begin() {
+void ChangeDistributor::start() {
   replicator_.set_time(timers_.now());
   replicator_.start(std::exchange(kept_, {}), seeds_);
 }
 
-void Changing::received(const Address& from, std::string_view bytes) {
+void ChangeDistributor::received(const Address& from, std::string_view bytes) {
   replicator_.set_time(timers_.now());
   replicator_.on_datagram(from, bytes);
 }
 
-void Changing::timer_expired(std::uint64_t token) {
+void ChangeDistributor::timer_expired(std::uint64_t token) {
   replicator_.set_time(timers_.now());
   replicator_.timer_expired(TimerId{token});
 }
 
-void Changing::persist(const changes::Change& change, bool in_force) {
+void ChangeDistributor::persist(const changes::Change& change, bool in_force) {
   if (folder_.empty()) return;
   const std::string name = in_force ? kInForce : kRefused, beside = name + ".new";
-  if (!disk_.write(beside, to_file(change)) || !disk_.rename(beside, name) || !disk_.sync_folder())
+  if (!disk_.write(beside, encode_change_file(change)) || !disk_.rename(beside, name) || !disk_.sync())
     net::log_line("change: number=%llu can't be kept in %s, held until the end of this process",
                   static_cast<unsigned long long>(change.number.value), folder_.c_str());
 }
 
-void Changing::on_status_change(const changes::Status& now, std::string_view from) {
+void ChangeDistributor::on_status_change(const changes::Status& now, std::string_view from) {
   const auto number = static_cast<unsigned long long>(now.held.newest.number.value);
   const int size = static_cast<int>(from.size());
   if (now.reason.empty())
--- a/src/node/changing.h
+++ b/src/node/change_distributor.h
@@ -8,19 +8,19 @@
 #include "changes/replicator.h"
 #include "members/view.h"
 #include "net/timer_queue.h"
-#include "node/promise_folder.h"
+#include "node/promise_store.h"
 #include "setup/operator.h"
 
 namespace flintweir::node {
 
-class Changing final : changes::ReplicatorDelegate, net::TimerEvents {
+class ChangeDistributor final : changes::ReplicatorDelegate, net::TimerEvents {
  public:
   // `take` takes a change whole, or changes nothing and says why. Throws std::runtime_error where the folder
   // holds what can't be read.
-  Changing(net::Network& network, net::TimerQueue& timers, members::View& view,
-           const setup::FleetSection& fleet, const setup::ChangesSection& changes, std::string name,
-           std::uint64_t seed, std::function<std::string(const changes::Change&)> take);
-  void begin();
+  ChangeDistributor(net::Network& network, net::TimerQueue& timers, members::View& view,
+                    const setup::FleetSection& fleet, const setup::ChangesSection& changes, std::string name,
+                    std::uint64_t seed, std::function<std::string(const changes::Change&)> take);
+  void start();
   void received(const Address& from, std::string_view bytes);
   const changes::Status& status() const { return replicator_.status(); }
 
@@ -41,13 +41,13 @@
   std::vector<Address> seeds_;
   std::function<std::string(const changes::Change&)> take_;
   std::string folder_;
-  FolderOnDisk disk_;
+  DiskDirectory disk_;
   changes::Replicator replicator_;
   std::vector<changes::Change> kept_;
 };
 
 // The file of a kept change: a line with number and sum, then the text. Nothing: it is not whole.
-std::string to_file(const changes::Change& change);
-std::optional<changes::Change> of_file(std::string_view text);
+std::string encode_change_file(const changes::Change& change);
+std::optional<changes::Change> decode_change_file(std::string_view text);
 
 }  // namespace flintweir::node
--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -98,7 +98,7 @@
   if (known != version_) log_line("list: taken version=%llu", static_cast<unsigned long long>(*version_));
   clock_.list_received();
   ask();
-  if (!std::exchange(spoken_, true)) told_.first_word();
+  if (!std::exchange(spoken_, true)) told_.first_request_done();
 }
 
 void Discovery::http_failed(const char* why, RequestFailure how) {
@@ -143,7 +143,7 @@
     const Micros in = clock_.request_by() - timers_.now() - Micros{sooner(chance_)};
     if (in > 0us) timers_.schedule(std::max(in, kShortestPause), *this, token(Due::in_time));
   }
-  if (!std::exchange(spoken_, true)) told_.first_word();
+  if (!std::exchange(spoken_, true)) told_.first_request_done();
 }
 
 void Discovery::timer_expired(std::uint64_t t) {
@@ -161,7 +161,7 @@
     const auto standing = standing_of(state);
     if (!standing) return false;
     std::optional<Address> at;
-    if (!o["endpoint"].get(address)) at = address_of(address);
+    if (!o["endpoint"].get(address)) at = parse_address(address);
     if (!at && standing != HostStatus::removed) return false;
     std::size_t zone_no = zones_.size();
     if (!o["az"].get(zone)) {
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -17,17 +17,17 @@
 
 class Discovery final : HttpGet::Events, TimerEvents {
  public:
-  class Told {
+  class Events {
    public:
-    virtual Balancer& balancer_now() = 0;  // with the time said
-    virtual void first_word() = 0;         // the first call has been answered, or has failed
+    virtual Balancer& balancer_now() = 0;   // with the time said
+    virtual void first_request_done() = 0;  // the first call has been answered, or has failed
 
    protected:
-    ~Told() = default;
+    ~Events() = default;
   };
   Discovery(Sockets& sockets, TimerQueue& timers, const Address& at, std::vector<std::string> zones,
             HostTable& hosts, std::optional<Micros> agent_again, Micros outage, std::uint64_t seed,
-            Told& told)
+            Events& told)
       : get_(sockets, timers, at, *this),
         zones_(std::move(zones)),
         hosts_(hosts),
@@ -69,7 +69,7 @@
   std::optional<Micros> agent_again_;
   std::knuth_b chance_;
   TimerQueue& timers_;
-  Told& told_;
+  Events& told_;
   StalenessClock clock_;
   simdjson::dom::parser parser_;
   std::optional<std::uint64_t> version_;  // of the list that changes are asked for; none: a whole one is
--- a/src/node/peers.cpp
+++ b/src/node/fleet_member.cpp
@@ -1,4 +1,4 @@
-#include "node/peers.h"
+#include "node/fleet_member.h"
 
 #include <algorithm>
 
@@ -14,8 +14,9 @@
 
 }  // namespace
 
-Peers::Peers(Network& network, TimerQueue& timers, const setup::FleetSection& fleet, std::string name,
-             std::string version, std::uint64_t seed, std::function<void(unsigned)> count)
+FleetMember::FleetMember(Network& network, TimerQueue& timers, const setup::FleetSection& fleet,
+                         std::string name, std::string version, std::uint64_t seed,
+                         std::function<void(unsigned)> count)
     : network_(network),
       timers_(timers),
       fleet_(fleet),
@@ -27,30 +28,30 @@
             fleet.zone, std::move(version), fleet.seeds, fleet.probe_interval, fleet.forget_after,
             fleet.max_members, seed) {}
 
-void Peers::begin() {
+void FleetMember::start() {
   const Address at = network_.open_datagrams(fleet_.address);
   log_line("fleet: %s at %s told=%s name=%s", fleet_.name.c_str(), to_text(at).c_str(),
            to_text(fleet_.advertised).c_str(), name_.c_str());
   network_.wait_datagram(*this);
   if (leases_)
-    voting_ = std::make_unique<Voting>(network_, *leases_, name_, fleet_.advertised,
-                                       static_cast<std::uint64_t>(timers_.now().count()));
+    voting_ = std::make_unique<LeaseVoter>(network_, *leases_, name_, fleet_.advertised,
+                                           static_cast<std::uint64_t>(timers_.now().count()));
   view_.set_time(timers_.now());
   view_.start();
-  if (changing_) changing_->begin();
+  if (changing_) changing_->start();
 }
 
-void Peers::vote(const setup::LeasesSection& leases) {
+void FleetMember::enable_voting(const setup::LeasesSection& leases) {
   if (std::find(leases.voters.begin(), leases.voters.end(), name_) != leases.voters.end()) leases_ = leases;
 }
 
-void Peers::carry(const setup::ChangesSection& changes,
-                  std::function<std::string(const changes::Change&)> take) {
-  changing_ = std::make_unique<Changing>(network_, timers_, view_, fleet_, changes, name_, mix(seed_),
-                                         std::move(take));
+void FleetMember::enable_changes(const setup::ChangesSection& changes,
+                                 std::function<std::string(const changes::Change&)> take) {
+  changing_ = std::make_unique<ChangeDistributor>(network_, timers_, view_, fleet_, changes, name_,
+                                                  mix(seed_), std::move(take));
 }
 
-void Peers::reload(const setup::FleetSection& fleet) {
+void FleetMember::reload(const setup::FleetSection& fleet) {
   setup::FleetSection with_seeds = fleet_;
   with_seeds.seeds = fleet.seeds;
   if (fleet != with_seeds) log_line("reload: fleet: all but the seeds holds until the next start");
@@ -59,12 +60,12 @@
   view_.set_seeds(fleet.seeds);
 }
 
-void Peers::leave() {
+void FleetMember::leave() {
   view_.set_time(timers_.now());
   view_.leave();
 }
 
-void Peers::datagram_pending() {
+void FleetMember::datagram_pending() {
   char bytes[members::kMaxDatagramBytes + 1];
   view_.set_time(timers_.now());
   for (int i = 0; i < kDatagramsInARow; ++i) {
@@ -82,13 +83,13 @@
   network_.wait_datagram(*this);
 }
 
-void Peers::timer_expired(std::uint64_t token) {
+void FleetMember::timer_expired(std::uint64_t token) {
   if (token == kCounts) return tell_count();
   view_.set_time(timers_.now());
   view_.timer_expired(TimerId{token});
 }
 
-void Peers::on_member_changed(std::string_view name, const members::Member& now, bool fresh) {
+void FleetMember::on_member_changed(std::string_view name, const members::Member& now, bool fresh) {
   log_line("member name=%.*s standing=%s start=%llu word=%u address=%s zone=%s by=%s%s digest=%016llx",
            static_cast<int>(name.size()), name.data(), members::name_of(now.state),
            static_cast<unsigned long long>(now.generation.value), now.incarnation,
@@ -98,12 +99,12 @@
   tell_count();
 }
 
-void Peers::log(std::string_view line) {
+void FleetMember::log(std::string_view line) {
   log_line("fleet: %.*s", static_cast<int>(line.size()), line.data());
 }
 
 // The settings' count stands until the view has had the time to hold whoever there is.
-void Peers::tell_count() {
+void FleetMember::tell_count() {
   if (!view_.joined()) return;
   const Micros now = timers_.now();
   const Micros learns = fleet_.probe_interval * kKnowsAll;
--- a/src/node/peers.h
+++ b/src/node/fleet_member.h
@@ -9,29 +9,30 @@
 
 #include "members/view.h"
 #include "net/timer_queue.h"
-#include "node/changing.h"
-#include "node/voting.h"
+#include "node/change_distributor.h"
+#include "node/lease_voter.h"
 #include "setup/operator.h"
 
 namespace flintweir::node {
 
 using namespace net;
 
-class Peers final : members::ViewDelegate, TimerEvents, DatagramEvents {
+class FleetMember final : members::ViewDelegate, TimerEvents, DatagramEvents {
  public:
   // `count` is called with the number of nodes that may be acting, whenever it is another.
-  Peers(Network& network, TimerQueue& timers, const setup::FleetSection& fleet, std::string name,
-        std::string version, std::uint64_t seed, std::function<void(unsigned)> count);
+  FleetMember(Network& network, TimerQueue& timers, const setup::FleetSection& fleet, std::string name,
+              std::string version, std::uint64_t seed, std::function<void(unsigned)> count);
   // Throws std::system_error where the address can't be had.
-  void begin();
-  // From begin() on this node votes for leases, if it is one of those named.
-  void vote(const setup::LeasesSection& leases);
-  // From begin() on this node passes changes on, and takes them by `take` (see Changing).
-  void carry(const setup::ChangesSection& changes, std::function<std::string(const changes::Change&)> take);
+  void start();
+  // From start() on this node votes for leases, if it is one of those named.
+  void enable_voting(const setup::LeasesSection& leases);
+  // From start() on this node passes changes on, and takes them by `take` (see ChangeDistributor).
+  void enable_changes(const setup::ChangesSection& changes,
+                      std::function<std::string(const changes::Change&)> take);
   // None: changes are not carried.
   const changes::Status* change_status() const { return changing_ ? &changing_->status() : nullptr; }
   std::uint64_t digest() const { return view_.digest(); }
-  unsigned acting() const { return view_.active_count(); }
+  unsigned active_nodes() const { return view_.active_count(); }
   // Takes new seeds; all else holds until the next start.
   void reload(const setup::FleetSection& fleet);
   void leave();
@@ -55,8 +56,8 @@
   std::uint64_t seed_;
   members::View view_;
   std::optional<setup::LeasesSection> leases_;
-  std::unique_ptr<Voting> voting_;
-  std::unique_ptr<Changing> changing_;
+  std::unique_ptr<LeaseVoter> voting_;
+  std::unique_ptr<ChangeDistributor> changing_;
 };
 
 }  // namespace flintweir::node
--- a/src/node/holder.cpp
+++ b/src/node/lease_holder.cpp
@@ -1,4 +1,4 @@
-#include "node/holder.h"
+#include "node/lease_holder.h"
 
 #include <algorithm>
 
@@ -14,20 +14,20 @@
 
 }  // namespace
 
-VoterPlaces::VoterPlaces(net::Network& network, const setup::FleetSection& fleet,
-                         std::vector<std::string> voters, std::uint64_t seed)
+VoterAddresses::VoterAddresses(net::Network& network, const setup::FleetSection& fleet,
+                               std::vector<std::string> voters, std::uint64_t seed)
     : network_(network), nodes_{fleet.address}, voters_(std::move(voters)), nonces_(seed << 20) {
   for (const Address& s : fleet.seeds)
     if (s != fleet.address) nodes_.push_back(s);
 }
 
-void VoterPlaces::ask() {
+void VoterAddresses::ask() {
   asked_ = nodes_[next_++ % nodes_.size()];
   asker_ = members::ViewQuery(nonces_ += 1 << 10);
   network_.send_datagram(asked_, asker_.next_request());
 }
 
-bool VoterPlaces::received(const Address& from, std::string_view bytes) {
+bool VoterAddresses::received(const Address& from, std::string_view bytes) {
   if (from != asked_) return false;
   if (!asker_.received(bytes)) {
     network_.send_datagram(asked_, asker_.next_request());
@@ -38,19 +38,19 @@
   return true;
 }
 
-const Address* VoterPlaces::of(std::size_t voter) const {
+const Address* VoterAddresses::of(std::size_t voter) const {
   const auto it = known_.find(voter);
   return it == known_.end() ? nullptr : &it->second;
 }
 
-std::optional<std::size_t> VoterPlaces::named(std::string_view name) const {
+std::optional<std::size_t> VoterAddresses::named(std::string_view name) const {
   const auto it = std::find(voters_.begin(), voters_.end(), name);
   return it == voters_.end() ? std::nullopt : std::optional(static_cast<std::size_t>(it - voters_.begin()));
 }
 
-Holder::Holder(net::Network& network, net::TimerQueue& timers, const setup::OperatorFile& own,
-               std::string lease, std::string who, const Address& here, std::optional<Address> told,
-               std::uint64_t seed, Told& whom)
+LeaseHolder::LeaseHolder(net::Network& network, net::TimerQueue& timers, const setup::OperatorFile& own,
+                         std::string lease, std::string who, const Address& here, std::optional<Address> told,
+                         std::uint64_t seed, Events& whom)
     : network_(network),
       timers_(timers),
       who_(std::move(who)),
@@ -62,23 +62,23 @@
       seeker_(*this, std::move(lease), own.leases->voters.size(), own.leases->length,
               Token{static_cast<std::uint64_t>(timers.now().count())}, seed) {}
 
-void Holder::begin() {
+void LeaseHolder::start() {
   here_ = network_.open_datagrams(here_);
   network_.wait_datagram(*this);
   woken(look_for_voters);
   seeker().acquire();
 }
 
-Candidate& Holder::seeker() {
+Candidate& LeaseHolder::seeker() {
   seeker_.set_time(network_.now_including_suspend());
   return seeker_;
 }
 
-void Holder::let_go() { seeker().release(); }
-Micros Holder::left() { return seeker().remaining(); }
+void LeaseHolder::release() { seeker().release(); }
+Micros LeaseHolder::time_left() { return seeker().remaining(); }
 
-void hear_post(net::Network& network, net::DatagramEvents& whom, DatagramHandler& hearer,
-               VoterPlaces& places) {
+void receive_datagrams(net::Network& network, net::DatagramEvents& whom, DatagramHandler& hearer,
+                       VoterAddresses& places) {
   char bytes[members::kMaxDatagramBytes + 1];
   for (;;) {
     const net::ReceiveResult got = network.receive(bytes, sizeof bytes);
@@ -90,15 +90,15 @@
   network.wait_datagram(whom);
 }
 
-void Holder::datagram_pending() { hear_post(network_, *this, *this, places_); }
+void LeaseHolder::datagram_pending() { receive_datagrams(network_, *this, *this, places_); }
 
-void Holder::timer_expired(std::uint64_t token) {
+void LeaseHolder::timer_expired(std::uint64_t token) {
   if (token != look_for_voters) return seeker().timer_expired(TimerId{token});
   places_.ask();
   timers_.schedule(places_.all() ? kLooksAgain : kLooks, *this, look_for_voters);
 }
 
-void Holder::send_request(VoterIndex voter, const Request& request) {
+void LeaseHolder::send_request(VoterIndex voter, const Request& request) {
   const Address* const at = places_.of(voter.value);
   if (!at) return;
   DatagramWriter writer(DatagramWriter::Kind::requests, {set_, who_, told_.value_or(here_)});
@@ -106,7 +106,7 @@
   network_.send_datagram(*at, writer.finish());
 }
 
-void Holder::on_reply(const Sender& from, const Reply& reply) {
+void LeaseHolder::on_reply(const Sender& from, const Reply& reply) {
   const auto voter = places_.named(from.name);
   if (voter && from.voter_set == set_ && reply.lease == seeker_.lease())
     seeker().on_reply(VoterIndex{static_cast<std::uint32_t>(*voter)}, reply);
--- a/src/node/holder.h
+++ b/src/node/lease_holder.h
@@ -18,10 +18,10 @@
 namespace flintweir::node {
 
 // Where the voters are, as a node's view has it. Views are asked for until all are known, and now and then.
-class VoterPlaces {
+class VoterAddresses {
  public:
-  VoterPlaces(net::Network& network, const setup::FleetSection& fleet, std::vector<std::string> voters,
-              std::uint64_t seed);
+  VoterAddresses(net::Network& network, const setup::FleetSection& fleet, std::vector<std::string> voters,
+                 std::uint64_t seed);
   void ask();                                                  // the next node that may answer
   bool received(const Address& from, std::string_view bytes);  // whether it was a part of a view
   const Address* of(std::size_t voter) const;
@@ -41,30 +41,31 @@
 };
 
 // All that waits: what is said of leases to the one, views to the other; then waits for more.
-void hear_post(net::Network& network, net::DatagramEvents& whom, leases::DatagramHandler& hearer,
-               VoterPlaces& places);
+void receive_datagrams(net::Network& network, net::DatagramEvents& whom, leases::DatagramHandler& hearer,
+                       VoterAddresses& places);
 
-class Holder final : net::DatagramEvents,
-                     net::TimerEvents,
-                     leases::DatagramHandler,
-                     leases::Candidate::Delegate {
+class LeaseHolder final : net::DatagramEvents,
+                          net::TimerEvents,
+                          leases::DatagramHandler,
+                          leases::Candidate::Delegate {
  public:
-  class Told {
+  class Events {
    public:
-    virtual void held(leases::Token token) = 0;
-    virtual void lost(leases::Token token, std::string_view why) = 0;
-    virtual void waits(std::string_view why) = 0;
+    virtual void lease_acquired(leases::Token token) = 0;
+    virtual void lease_lost(leases::Token token, std::string_view why) = 0;
+    virtual void lease_awaited(std::string_view why) = 0;
 
    protected:
-    ~Told() = default;
+    ~Events() = default;
   };
   // `who`: its name and start. `here`: where it hears; `told`: what voters answer to, the same if left out.
-  Holder(net::Network& network, net::TimerQueue& timers, const setup::OperatorFile& own, std::string lease,
-         std::string who, const Address& here, std::optional<Address> told, std::uint64_t seed, Told& whom);
-  void begin();  // throws std::system_error where it can't have its address
-  void let_go();
+  LeaseHolder(net::Network& network, net::TimerQueue& timers, const setup::OperatorFile& own,
+              std::string lease, std::string who, const Address& here, std::optional<Address> told,
+              std::uint64_t seed, Events& whom);
+  void start();  // throws std::system_error where it can't have its address
+  void release();
   // Of a lease that is held, by the clock now; looks whether it is.
-  Micros left();
+  Micros time_left();
 
  private:
   enum Due : std::uint64_t { look_for_voters = ~0ull };
@@ -72,9 +73,9 @@
   void timer_expired(std::uint64_t token) override;
   void send_request(leases::VoterIndex voter, const leases::Request& request) override;
   void set_timer(Micros delay, TimerId timer) override { timers_.schedule(delay, *this, timer.value); }
-  void on_acquired(leases::Token token) override { whom_.held(token); }
-  void on_lost(leases::Token token, std::string_view why) override { whom_.lost(token, why); }
-  void on_waiting(std::string_view why) override { whom_.waits(why); }
+  void on_acquired(leases::Token token) override { whom_.lease_acquired(token); }
+  void on_lost(leases::Token token, std::string_view why) override { whom_.lease_lost(token, why); }
+  void on_waiting(std::string_view why) override { whom_.lease_awaited(why); }
   void on_reply(const leases::Sender& from, const leases::Reply& reply) override;
   leases::Candidate& seeker();  // at the present time
 
@@ -84,8 +85,8 @@
   Address here_;
   std::optional<Address> told_;
   std::uint64_t set_;
-  Told& whom_;
-  VoterPlaces places_;
+  Events& whom_;
+  VoterAddresses places_;
   leases::Candidate seeker_;
 };
 
--- a/src/node/voting.cpp
+++ b/src/node/lease_voter.cpp
@@ -1,4 +1,4 @@
-#include "node/voting.h"
+#include "node/lease_voter.h"
 
 #include "net/log.h"
 #include "numbers.h"
@@ -14,17 +14,17 @@
 
 }  // namespace
 
-Voting::Voting(net::Network& network, const setup::LeasesSection& leases, std::string name,
-               const Address& told, std::uint64_t start)
+LeaseVoter::LeaseVoter(net::Network& network, const setup::LeasesSection& leases, std::string name,
+                       const Address& told, std::uint64_t start)
     : network_(network),
       name_(std::move(name)),
       told_(told),
       set_(voter_set_id(leases.voters, leases.length)),
       disk_(leases.folder),
-      folder_(leases.folder.empty() ? std::optional<PromiseFolder>()
-                                    : std::optional<PromiseFolder>(std::in_place, disk_, name_)),
+      folder_(leases.folder.empty() ? std::optional<PromiseStore>()
+                                    : std::optional<PromiseStore>(std::in_place, disk_, name_)),
       voter_(leases.length, Token{start}, network.now_including_suspend(), folder_ ? &*folder_ : nullptr,
-             folder_ ? folder_->kept() : std::nullopt),
+             folder_ ? folder_->loaded() : std::nullopt),
       complained_at_(kNever) {
   net::log_line("leases: voter name=%s set=%016llx silent_ms=%lld", name_.c_str(),
                 static_cast<unsigned long long>(set_),
@@ -32,9 +32,9 @@
                     voter_.silent(network.now_including_suspend()) ? leases.length.count() / 1000 : 0));
 }
 
-void Voting::received(std::string_view bytes) { decode(bytes, *this); }
+void LeaseVoter::received(std::string_view bytes) { decode(bytes, *this); }
 
-void Voting::on_request(const Sender& from, const Request& r) {
+void LeaseVoter::on_request(const Sender& from, const Request& r) {
   if (r.kind == RequestKind::query) return show(from, r.lease);
   const Micros now = network_.now_including_suspend();
   if (from.voter_set != set_) {
@@ -59,14 +59,14 @@
   }
 }
 
-void Voting::answer(const Address& to, const Reply& reply) {
+void LeaseVoter::answer(const Address& to, const Reply& reply) {
   DatagramWriter writer(DatagramWriter::Kind::replies, {set_, name_, told_});
   writer.add(reply);
   network_.send_datagram(to, writer.finish());
 }
 
 // A page of what stands behind that name.
-void Voting::show(const Sender& to, std::string_view after) {
+void LeaseVoter::show(const Sender& to, std::string_view after) {
   const auto all = voter_.list(network_.now_including_suspend());
   for (const bool last : {true, false}) {
     DatagramWriter writer(DatagramWriter::Kind::status_page, {set_, name_, told_});
--- a/src/node/voting.h
+++ b/src/node/lease_voter.h
@@ -8,17 +8,17 @@
 #include "leases/datagram.h"
 #include "leases/voter.h"
 #include "net/network.h"
-#include "node/promise_folder.h"
+#include "node/promise_store.h"
 #include "setup/operator.h"
 
 namespace flintweir::node {
 
-class Voting final : leases::DatagramHandler {
+class LeaseVoter final : leases::DatagramHandler {
  public:
   // Throws std::runtime_error where its folder is not to be used. `told`: where this node is reached.
   // `start`: the wall clock at the start, in microseconds.
-  Voting(net::Network& network, const setup::LeasesSection& leases, std::string name, const Address& told,
-         std::uint64_t start);
+  LeaseVoter(net::Network& network, const setup::LeasesSection& leases, std::string name, const Address& told,
+             std::uint64_t start);
   void received(std::string_view bytes);
 
  private:
@@ -30,8 +30,8 @@
   std::string name_;
   Address told_;
   std::uint64_t set_;
-  FolderOnDisk disk_;
-  std::optional<PromiseFolder> folder_;
+  DiskDirectory disk_;
+  std::optional<PromiseStore> folder_;
   leases::Voter voter_;
   std::map<std::string, Address, std::less<>> places_;  // of those who stand in line
   Micros complained_at_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -4,7 +4,7 @@
 
 #include "net/log.h"
 #include "net/null_network.h"
-#include "plain_text.h"
+#include "printable_token.h"
 #include "setup/deployment.h"
 
 namespace flintweir::node {
@@ -70,7 +70,7 @@
                           kShortestOutage);
 }
 
-std::size_t socket_limit(const NodeFile& file) {
+std::size_t socket_limit(const NodeConfig& file) {
   if (file.sockets() < 4 * kOwnDescriptors) {
     setup::throw_invalid_input("configuration: limits.sockets is under " +
                                std::to_string(4 * kOwnDescriptors));
@@ -80,14 +80,14 @@
 
 // Half of the memory for sessions; each takes its place in the table and what the kernel keeps for two
 // sockets.
-std::size_t most_sessions(const NodeFile& file) {
+std::size_t most_sessions(const NodeConfig& file) {
   constexpr std::size_t kEach = sizeof(ProxySession) + (64u << 10);
   return std::max<std::size_t>((file.memory_mb() << 20) / 2 / kEach, 1);
 }
 
 }  // namespace
 
-Node::Node(Network& network, const NodeFile& file, MakeBalancer make)
+Node::Node(Network& network, const NodeConfig& file, BalancerFactory make)
     : network_(network),
       listen_(file.listen()),
       sockets_(network, socket_limit(file)),
@@ -109,19 +109,20 @@
   sessions_.balancer_now();
 }
 
-void Node::join(const setup::OperatorFile& own, std::string name, std::string version, std::uint64_t seed) {
+void Node::join_fleet(const setup::OperatorFile& own, std::string name, std::string version,
+                      std::uint64_t seed) {
   if (name.empty())
     setup::throw_invalid_input("configuration: name is missing, which the operator's [fleet] needs");
-  if (name.size() > members::kMaxNameBytes || !is_plain(name))
+  if (name.size() > members::kMaxNameBytes || !is_printable_token(name))
     setup::throw_invalid_input(
         "configuration: name '" + name +
         "' is over 64 characters or not all printable ASCII without blanks and quotes");
-  peers_ = std::make_unique<Peers>(network_, timers_, *own.fleet, name, std::move(version), seed,
-                                   [this](unsigned nodes) { balancer_now().set_node_count(nodes); });
+  peers_ = std::make_unique<FleetMember>(network_, timers_, *own.fleet, name, std::move(version), seed,
+                                         [this](unsigned nodes) { balancer_now().set_node_count(nodes); });
   leases_ = own.leases;
-  if (leases_) peers_->vote(*leases_);
+  if (leases_) peers_->enable_voting(*leases_);
   changes_ = own.changes;
-  if (changes_) peers_->carry(*changes_, [this](const changes::Change& c) { return take(c); });
+  if (changes_) peers_->enable_changes(*changes_, [this](const changes::Change& c) { return take(c); });
 }
 
 std::string Node::take(const changes::Change& change) {
@@ -145,7 +146,7 @@
 
 void Node::serve() {
   const Address at = network_.listen(listen_);
-  if (peers_) peers_->begin();
+  if (peers_) peers_->start();
   log_line("serving at %s", to_text(at).c_str());
   discovery_.begin();
   if (!pushed_) return open();
@@ -213,7 +214,7 @@
 }
 
 // They are moved over half the longest dial timeout; those that still come are answered until the end.
-void Node::leave() {
+void Node::shut_down() {
   if (std::exchange(leaving_, true)) return;
   open();
   log_line("leaving: moving all sessions");
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -5,8 +5,8 @@
 
 #include "line/sessions.h"
 #include "node/discovery.h"
-#include "node/node_file.h"
-#include "node/peers.h"
+#include "node/fleet_member.h"
+#include "node/node_config.h"
 #include "setup/config_change.h"
 #include "setup/deployment.h"
 
@@ -15,23 +15,23 @@
 using namespace net;
 using namespace line;
 
-using MakeBalancer = std::function<std::unique_ptr<Balancer>(const setup::JsonObject& settings,
-                                                             BalancerActions& outlet, std::uint64_t seed)>;
+using BalancerFactory = std::function<std::unique_ptr<Balancer>(const setup::JsonObject& settings,
+                                                                BalancerActions& outlet, std::uint64_t seed)>;
 
-class Node final : Sessions::Events, Discovery::Told, TimerEvents, AcceptEvents {
+class Node final : Sessions::Events, Discovery::Events, TimerEvents, AcceptEvents {
  public:
   // Reads all of the file and makes the parts, but serves nobody. Throws setup::InvalidInput.
-  Node(Network& network, const NodeFile& file, MakeBalancer make = setup::create_balancer);
+  Node(Network& network, const NodeConfig& file, BalancerFactory make = setup::create_balancer);
   // Will speak to the other nodes of the fleet from serve() on. Throws setup::InvalidInput.
-  void join(const setup::OperatorFile& own, std::string name, std::string version, std::uint64_t seed);
+  void join_fleet(const setup::OperatorFile& own, std::string name, std::string version, std::uint64_t seed);
   // From now on takes clients, on the network's loop. Throws std::system_error where it can't listen.
   void serve();
   // Takes the new address of discovery and the fleet's new seeds; all else holds until the next start. What
   // `read` throws, and files that could not be started with, change nothing.
-  using Files = std::pair<std::unique_ptr<NodeFile>, setup::OperatorFile>;
+  using Files = std::pair<std::unique_ptr<NodeConfig>, setup::OperatorFile>;
   void reload(const std::function<Files()>& read);
   // Moves all clients, answers those that still come, then stops the network.
-  void leave();
+  void shut_down();
 
  private:
   enum Due : std::uint64_t { accept_again, take_clients, left };
@@ -39,7 +39,7 @@
   Balancer& balancer_now() override { return sessions_.balancer_now(); }
   void timer_expired(std::uint64_t due) override;
   void connection_pending() override { accept(); }
-  void first_word() override { open(); }
+  void first_request_done() override { open(); }
   // A change whole, or nothing of it and why not.
   std::string take(const changes::Change& change);
   void follow(const Address& at);
@@ -55,7 +55,7 @@
   bool pushed_, open_ = false, leaving_ = false;  // pushed: an agent at this node has the list
   Sessions sessions_;
   Discovery discovery_;
-  std::unique_ptr<Peers> peers_;
+  std::unique_ptr<FleetMember> peers_;
   std::optional<setup::LeasesSection> leases_;  // none without the operator's word
   std::optional<setup::ChangesSection> changes_;
   // As the file has it at the start; changes are laid over that.
--- a/src/node/node_file.cpp
+++ b/src/node/node_config.cpp
@@ -1,4 +1,4 @@
-#include "node/node_file.h"
+#include "node/node_config.h"
 
 #include "setup/deployment.h"
 
@@ -15,12 +15,12 @@
 
 }  // namespace
 
-NodeFile::NodeFile(const std::string& path, std::string listen, std::string discovery)
+NodeConfig::NodeConfig(const std::string& path, std::string listen, std::string discovery)
     : listen_(std::move(listen)),
       discovery_(std::move(discovery)),
       whole_(load(parser_, path), "configuration") {}
 
-NodeFile::NodeFile(std::string_view text)
+NodeConfig::NodeConfig(std::string_view text)
     : whole_(
           [&] {
             simdjson::dom::element e;
@@ -31,22 +31,24 @@
           }(),
           "configuration") {}
 
-Address NodeFile::address(const char* key, const std::string& given) const {
+Address NodeConfig::address(const char* key, const std::string& given) const {
   const std::string text = given.empty() ? std::string(whole_.text(key, "")) : given;
-  const auto at = address_of(text);
+  const auto at = parse_address(text);
   if (!at)
     setup::throw_invalid_input("configuration: " + std::string(key) + " '" + text +
                                "' is not an address with a port");
   return *at;
 }
 
-std::uint64_t NodeFile::seed() const { return setup::parse_key(whole_.text("seed", "")); }
-std::size_t NodeFile::sockets() const { return setup::JsonObject(whole_, "limits").number("sockets", 1024); }
-std::size_t NodeFile::memory_mb() const {
+std::uint64_t NodeConfig::seed() const { return setup::parse_key(whole_.text("seed", "")); }
+std::size_t NodeConfig::sockets() const {
+  return setup::JsonObject(whole_, "limits").number("sockets", 1024);
+}
+std::size_t NodeConfig::memory_mb() const {
   return setup::JsonObject(whole_, "limits").number("memory_mb", 192);
 }
 
-std::optional<simdjson::dom::element> NodeFile::known() const {
+std::optional<simdjson::dom::element> NodeConfig::known() const {
   return whole_.has("known") ? std::optional(whole_.required("known")) : std::nullopt;
 }
 
--- a/src/node/node_file.h
+++ b/src/node/node_config.h
@@ -12,15 +12,15 @@
 namespace flintweir::node {
 
 // Reads the file, and keeps it: settings and the known list are looked at in place.
-class NodeFile {
+class NodeConfig {
  public:
   // An address given here goes before the file's; empty: none is. Throws setup::InvalidInput.
-  explicit NodeFile(const std::string& path, std::string listen = "", std::string discovery = "");
+  explicit NodeConfig(const std::string& path, std::string listen = "", std::string discovery = "");
   // The same of a file's text.
-  static std::unique_ptr<NodeFile> of_text(std::string_view text) {
-    return std::unique_ptr<NodeFile>(new NodeFile(text));
+  static std::unique_ptr<NodeConfig> from_text(std::string_view text) {
+    return std::unique_ptr<NodeConfig>(new NodeConfig(text));
   }
-  NodeFile(const NodeFile&) = delete;  // what is kept points into it
+  NodeConfig(const NodeConfig&) = delete;  // what is kept points into it
   std::string name() const { return std::string(whole_.text("name", "")); }
   Address listen() const { return address("listen", listen_); }
   Address discovery() const { return address("discovery", discovery_); }
@@ -32,7 +32,7 @@
   std::optional<simdjson::dom::element> known() const;
 
  private:
-  explicit NodeFile(std::string_view text);
+  explicit NodeConfig(std::string_view text);
   Address address(const char* key, const std::string& given) const;
 
   std::string listen_, discovery_;
--- a/src/node/promise_folder.cpp
+++ b/src/node/promise_store.cpp
@@ -1,4 +1,4 @@
-#include "node/promise_folder.h"
+#include "node/promise_store.h"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -72,7 +72,7 @@
 
 }  // namespace
 
-bool FolderOnDisk::write(const std::string& name, std::string_view bytes) {
+bool DiskDirectory::write(const std::string& name, std::string_view bytes) {
   const Descriptor file(::open((path_ + '/' + name).c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
   if (file.get() < 0) return false;
   while (!bytes.empty()) {
@@ -83,23 +83,23 @@
   return ::fsync(file.get()) == 0;
 }
 
-bool FolderOnDisk::rename(const std::string& from, const std::string& to) {
+bool DiskDirectory::rename(const std::string& from, const std::string& to) {
   return ::rename((path_ + '/' + from).c_str(), (path_ + '/' + to).c_str()) == 0;
 }
 
-bool FolderOnDisk::sync_folder() {
+bool DiskDirectory::sync() {
   const Descriptor folder(::open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
   return folder.get() >= 0 && ::fsync(folder.get()) == 0;
 }
 
-std::optional<std::string> FolderOnDisk::read(const std::string& name) {
+std::optional<std::string> DiskDirectory::read(const std::string& name) {
   std::ifstream in(path_ + '/' + name, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
   return in ? std::optional(text.str()) : std::nullopt;
 }
 
-std::vector<std::string> FolderOnDisk::names() {
+std::vector<std::string> DiskDirectory::file_names() {
   std::vector<std::string> out;
   DIR* const folder = ::opendir(path_.c_str());
   if (!folder) throw std::runtime_error("leases.folder: " + path_ + " can't be read");
@@ -109,9 +109,9 @@
   return out;
 }
 
-PromiseFolder::PromiseFolder(Disk& disk, const std::string& voter) : disk_(disk) {
+PromiseStore::PromiseStore(Directory& disk, const std::string& voter) : disk_(disk) {
   const std::string own = with_sum("1 " + voter + '\n');
-  const std::vector<std::string> names = disk.names();
+  const std::vector<std::string> names = disk.file_names();
   if (std::find(names.begin(), names.end(), kMarker) == names.end()) {
     if (!put(kMarker, own)) throw std::runtime_error("leases.folder can't be written");
     return;
@@ -129,10 +129,10 @@
   }
 }
 
-bool PromiseFolder::put(const std::string& name, const std::string& text) {
-  return disk_.write(name + ".new", text) && disk_.rename(name + ".new", name) && disk_.sync_folder();
+bool PromiseStore::put(const std::string& name, const std::string& text) {
+  return disk_.write(name + ".new", text) && disk_.rename(name + ".new", name) && disk_.sync();
 }
 
-bool PromiseFolder::save(const Record& record) { return put(file_of(record.lease), text_of(record)); }
+bool PromiseStore::save(const Record& record) { return put(file_of(record.lease), text_of(record)); }
 
 }  // namespace flintweir::node
--- a/src/node/promise_folder.h
+++ b/src/node/promise_store.h
@@ -11,40 +11,40 @@
 namespace flintweir::node {
 
 // What it needs of the disk; each call may fail. Files are named within the folder.
-class Disk {
+class Directory {
  public:
-  virtual ~Disk() = default;
+  virtual ~Directory() = default;
   virtual bool write(const std::string& name, std::string_view bytes) = 0;  // and syncs it
   virtual bool rename(const std::string& from, const std::string& to) = 0;
-  virtual bool sync_folder() = 0;
+  virtual bool sync() = 0;
   virtual std::optional<std::string> read(const std::string& name) = 0;
-  virtual std::vector<std::string> names() = 0;
+  virtual std::vector<std::string> file_names() = 0;
 };
 
-class FolderOnDisk final : public Disk {
+class DiskDirectory final : public Directory {
  public:
-  explicit FolderOnDisk(std::string path) : path_(std::move(path)) {}
+  explicit DiskDirectory(std::string path) : path_(std::move(path)) {}
   bool write(const std::string& name, std::string_view bytes) override;
   bool rename(const std::string& from, const std::string& to) override;
-  bool sync_folder() override;
+  bool sync() override;
   std::optional<std::string> read(const std::string& name) override;
-  std::vector<std::string> names() override;
+  std::vector<std::string> file_names() override;
 
  private:
   std::string path_;
 };
 
-class PromiseFolder final : public leases::VoterStorage {
+class PromiseStore final : public leases::VoterStorage {
  public:
   // Throws std::runtime_error where the folder is another voter's or can't be read or written.
-  PromiseFolder(Disk& disk, const std::string& voter);
+  PromiseStore(Directory& disk, const std::string& voter);
   // Nothing where the folder is new: what was promised before, if anything was, is not known.
-  const std::optional<std::vector<Record>>& kept() const { return kept_; }
+  const std::optional<std::vector<Record>>& loaded() const { return kept_; }
   bool save(const Record& record) override;
 
  private:
   bool put(const std::string& name, const std::string& text);
-  Disk& disk_;
+  Directory& disk_;
   std::optional<std::vector<Record>> kept_;
 };
 
--- a/src/plain_text.h
+++ b/src/printable_token.h
@@ -7,7 +7,7 @@
 namespace flintweir {
 
 // Printable ASCII without blanks, quotes and backslashes.
-inline bool is_plain(std::string_view text) {
+inline bool is_printable_token(std::string_view text) {
   return std::all_of(text.begin(), text.end(),
                      [](char c) { return c > ' ' && c < 127 && c != '"' && c != '\\'; });
 }
--- a/src/setup/toml_section.h
+++ b/src/setup/toml_section.h
@@ -15,7 +15,7 @@
 
 #include "address.h"
 #include "ids.h"
-#include "plain_text.h"
+#include "printable_token.h"
 
 namespace flintweir::setup {
 
@@ -104,7 +104,7 @@
     const toml::node* const n = find(key, !other);
     if (!n) return other.value_or("");
     const auto text = n->value_exact<std::string>();
-    const bool fits = text && !text->empty() && text->size() <= longest && is_plain(*text);
+    const bool fits = text && !text->empty() && text->size() <= longest && is_printable_token(*text);
     if (!fits)
       complain(
           *n, key,
@@ -132,7 +132,7 @@
     if (good)
       for (const toml::node& one : *n->as_array()) {
         out.push_back(one.value_exact<std::string>().value_or(""));
-        good = good && !out.back().empty() && out.back().size() <= 64 && is_plain(out.back()) &&
+        good = good && !out.back().empty() && out.back().size() <= 64 && is_printable_token(out.back()) &&
                std::count(out.begin(), out.end(), out.back()) == 1;
       }
     good = good && std::find(how_many.begin(), how_many.end(), out.size()) != how_many.end();
@@ -187,7 +187,7 @@
   }
   Address address_in(const toml::node& n, const char* key) {
     const auto text = n.value_exact<std::string>();
-    const auto at = text ? address_of(*text) : std::nullopt;
+    const auto at = text ? parse_address(*text) : std::nullopt;
     if (!at || at->port == 0)
       complain(n, key, "has to be a numeric address with a port, like \"10.0.0.4:7946\"");
     return at.value_or(Address());
--- a/src/view_client.h
+++ b/src/view_client.h
@@ -12,7 +12,7 @@
  public:
   explicit ViewClient(const Address& at) : at_(at) {
     Address here;
-    here.v6 = at.v6;
+    here.is_v6 = at.is_v6;
     network_.open_datagrams(here);
     network_.wait_datagram(*this);
   }
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -13,7 +13,7 @@
 
 #include "changes/replicator.h"
 #include "lab/fleet/change_rig.h"
-#include "node/changing.h"
+#include "node/change_distributor.h"
 #include "setup/config_change.h"
 
 namespace flintweir::test {
@@ -22,7 +22,7 @@
 using namespace std::chrono_literals;
 using namespace changes;
 
-const Address kAt = *address_of("127.0.0.1:7946");
+const Address kAt = *parse_address("127.0.0.1:7946");
 const Sender kMe{"fleet", "n1", kAt};
 
 struct Heard final : MessageHandler {
@@ -135,15 +135,16 @@
 
 TEST(KeptChange, IsWholeOrNotTaken) {
   const Change change{ChangeNumber{12}, "[prices]\ncrossing = 1\n"};
-  const std::string text = node::to_file(change);
-  const auto read = node::of_file(text);
+  const std::string text = node::encode_change_file(change);
+  const auto read = node::decode_change_file(text);
   ASSERT_TRUE(read);
   EXPECT_EQ(change_id(*read), change_id(change));
-  for (std::size_t cut = 0; cut < text.size(); ++cut) EXPECT_FALSE(node::of_file(text.substr(0, cut))) << cut;
+  for (std::size_t cut = 0; cut < text.size(); ++cut)
+    EXPECT_FALSE(node::decode_change_file(text.substr(0, cut))) << cut;
   std::string spoilt = text;
   spoilt.back() = ' ';
-  EXPECT_FALSE(node::of_file(spoilt));
-  EXPECT_FALSE(node::of_file("flintweir-change 2 1 1\n"));
+  EXPECT_FALSE(node::decode_change_file(spoilt));
+  EXPECT_FALSE(node::decode_change_file("flintweir-change 2 1 1\n"));
 }
 
 // One replicator among others that the test plays.
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -16,7 +16,7 @@
 #include "leases/candidate.h"
 #include "leases/datagram.h"
 #include "leases/voter.h"
-#include "node/promise_folder.h"
+#include "node/promise_store.h"
 #include "setup/operator.h"
 
 namespace flintweir {
@@ -35,7 +35,7 @@
 // Each kind comes back as it was said; one byte changed, or a byte less, and nothing of it is heard.
 TEST(LeaseDatagrams, AreHeardWholeOrNotAtAll) {
   std::knuth_b chance(7);
-  const Sender from{chance(), "n1/17", *address_of("127.0.0.1:7946")};
+  const Sender from{chance(), "n1/17", *parse_address("127.0.0.1:7946")};
   for (int round = 0; round < 3000; ++round) {
     const auto kind = static_cast<DatagramWriter::Kind>(1 + chance() % 3);
     DatagramWriter w(kind, from);
@@ -65,7 +65,7 @@
 }
 
 // A disk of which the call of that number fails, or is the last one before a crash.
-struct BadDisk final : node::Disk {
+struct BadDisk final : node::Directory {
   std::map<std::string, std::string> files;
   int calls = 0, fails_at = -1;
   bool dies = false, dead = false;
@@ -89,9 +89,9 @@
     files.erase(from);
     return true;
   }
-  bool sync_folder() override { return !fails(); }
+  bool sync() override { return !fails(); }
   std::optional<std::string> read(const std::string& name) override { return files.at(name); }
-  std::vector<std::string> names() override {
+  std::vector<std::string> file_names() override {
     std::vector<std::string> out;
     for (const auto& [name, text] : files) out.push_back(name);
     return out;
@@ -106,8 +106,8 @@
       BadDisk disk;
       std::uint64_t answered = 0;
       {
-        node::PromiseFolder folder(disk, "n1");
-        EXPECT_FALSE(folder.kept());
+        node::PromiseStore folder(disk, "n1");
+        EXPECT_FALSE(folder.loaded());
         disk.fails_at = fails_at, disk.dies = dies;
         Voter voter(2s, Token{10}, 0s, &folder);
         for (std::uint64_t t = 11; t < 14; ++t) {
@@ -117,9 +117,9 @@
         }
       }
       disk.dead = false, disk.fails_at = -1;
-      node::PromiseFolder again(disk, "n1");
-      ASSERT_TRUE(again.kept());
-      Voter voter(2s, Token{0}, 0s, &again, again.kept());
+      node::PromiseStore again(disk, "n1");
+      ASSERT_TRUE(again.loaded());
+      Voter voter(2s, Token{0}, 0s, &again, again.loaded());
       // Whatever was granted still stands in the way of another, and tokens go on from there.
       const auto reply = voter.handle(1ms, {RequestKind::prepare, "job", Token{1000}, Round{1}, 2s}, "b");
       if (answered > 0) {
@@ -127,7 +127,7 @@
         EXPECT_EQ(reply->kind, ReplyKind::queued) << fails_at << ' ' << dies;
         EXPECT_GE(reply->highest_promised.value, answered);
       }
-      EXPECT_THROW(node::PromiseFolder(disk, "n2"), std::runtime_error);
+      EXPECT_THROW(node::PromiseStore(disk, "n2"), std::runtime_error);
     }
   }
 }
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -43,7 +43,7 @@
 };
 
 std::string datagram(members::MessageKind kind, std::knuth_b& chance) {
-  const Address at = *address_of("127.0.0.1:7946");
+  const Address at = *parse_address("127.0.0.1:7946");
   const members::Sender from{kind == members::MessageKind::view_query ? "" : "n1",
                              members::Generation{chance()}, at, chance(), 3};
   members::DatagramWriter w(kind, "lab", from, members::Nonce{chance()});
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -123,7 +123,7 @@
   NoConnections network;
   net::Sockets sockets(network, 10);
   net::TimerQueue timers(network);
-  net::HttpGet get(sockets, timers, *address_of("127.0.0.1:81"), heard);
+  net::HttpGet get(sockets, timers, *parse_address("127.0.0.1:81"), heard);
   for (const net::ConnectResult result : {net::ConnectResult::failed, net::ConnectResult::refused}) {
     get.get("/", 0s, 1s);
     network.end(result);
@@ -133,10 +133,10 @@
 }
 
 TEST(Hosts, AddressesAreNumbers) {
-  EXPECT_EQ(address_of("127.0.0.1:81")->port, 81);
-  EXPECT_TRUE(address_of("[::1]:81"));
+  EXPECT_EQ(parse_address("127.0.0.1:81")->port, 81);
+  EXPECT_TRUE(parse_address("[::1]:81"));
   for (const char* bad : {"", "127.0.0.1", "localhost:81", "127.0.0.1:", "127.0.0.1:99999", "127.0.0.1:8x"})
-    EXPECT_FALSE(address_of(bad)) << bad;
+    EXPECT_FALSE(parse_address(bad)) << bad;
 }
 
 // What goes in comes out in the same order, whatever the sizes, and no more is held than there is room for.
