--- a/src/lab/checks/interleaving.cpp
+++ b/src/lab/checks/interleaving.cpp
@@ -141,7 +141,7 @@
     bool host_failed = false;                     // its host broke it off or fell silent
   };
 
-  void line(const char*) override {}
+  void write_line(const char*) override {}
   Micros now() const { return timeline_.now(); }
   void broke(const std::string& rule, const std::string& what) {
     broken_.push_back(rule + ": at " + std::to_string((now() - kStart).count()) + " us: " + what);
--- a/src/lab/fleet/hollow.cpp
+++ b/src/lab/fleet/hollow.cpp
@@ -261,7 +261,7 @@
     for (unsigned i = 0; i < members_.size(); ++i) {
       if (!members_[i] || (one_region && i % 2)) continue;
       ++all;
-      have += members_[i]->peers->change_status()->has.in_force.number.value >= number;
+      have += members_[i]->peers->change_status()->held.in_force.number.value >= number;
     }
     for (unsigned r = 0; r < processes_.size(); ++r) {
       if (!processes_[r] || (one_region && (members_.size() + r) % 2)) continue;
--- a/src/node/change_distributor.h
+++ b/src/node/change_distributor.h
@@ -28,7 +28,7 @@
   void send(const Address& to, std::string_view bytes) override { network_.send_datagram(to, bytes); }
   void set_timer(Micros in, TimerId wake) override { timers_.schedule(in, *this, wake.value); }
   void sample_members(std::size_t near, std::size_t far, std::vector<Address>& to) override {
-    view_.sample_members(near, far, to);
+    view_.pick_members(near, far, to);
   }
   std::string apply(const changes::Change& change) override { return take_(change); }
   void persist(const changes::Change& change, bool in_force) override;
--- a/src/node/lease_holder.cpp
+++ b/src/node/lease_holder.cpp
@@ -65,7 +65,7 @@
 void LeaseHolder::start() {
   here_ = network_.open_datagrams(here_);
   network_.wait_datagram(*this);
-  woken(look_for_voters);
+  timer_expired(look_for_voters);
   seeker().acquire();
 }
 
