--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1,7 +1,5 @@
-// Every decision of flintweir: which host gets a session, when to dial again, refuse, probe or move.
-// How it is called: the caller says the time (Balancer::set_time), then what happened (list, probe answers,
-// sessions taken, wake-ups); what befalls a session comes in through its SessionHandle. Each call may act on
-// the BalancerActions before it returns. The interface is in balance.h; docs/design.md tells the reasons.
+// The decision module: which host gets a session, and when to retry a dial, refuse a session, probe a host or
+// move sessions. The interface, and how it is called, is in balance.h; docs/design.md gives the reasons.
 #include "balance.h"
 
 #include <algorithm>
@@ -19,331 +17,356 @@
 
 using namespace std::chrono_literals;
 
-// The page of the design: the interval of probes, the rest between quiet rounds of moves, the weights of the
-// load (that of memory is joined to the first), and the two thresholds.
-constexpr Micros kProbeEvery = 1s;
-constexpr Micros kQuietRest = 10s;
-constexpr double kWeightLoad = 0.81 + 0.08;
-constexpr double kWeightPiled = 0.11;
-constexpr double kSuspendAt = 0.8;
-constexpr double kLightAt = 0.1;
-constexpr double kFullAt = kSuspendAt - kLightAt;  // a host so loaded gets nothing new
-constexpr int kBeatsPerProbe = 8;
-constexpr Micros kCurrent = 2 * kProbeEvery;  // a report is, for so long
-
-// The load of one host from its two last reports, now and forecast a horizon on.
+// Parameters of the algorithm in docs/design.md.
+constexpr Micros kProbeInterval = 1s;
+constexpr Micros kRebalanceInterval = 10s;   // between moves while no host is overloaded
+constexpr double kLoadWeight = 0.81 + 0.08;  // the second term is the weight of memory, which is not reported
+constexpr double kBacklogWeight = 0.11;
+constexpr double kSuspendThreshold = 0.8;
+constexpr double kLightThreshold = 0.1;
+// A host at this load gets no new sessions.
+constexpr double kFullThreshold = kSuspendThreshold - kLightThreshold;
+constexpr int kTicksPerProbe = 8;
+constexpr Micros kReportLifetime = 2 * kProbeInterval;  // how long a load report counts as current
+
+// The load of one host by its last two reports, and its forecast.
 class LoadForecast {
  public:
-  void report(Micros now, double load, double piled, double least_peak) {
-    const double kept = at_ == kNever ? 0 : decay(now - at_, kQuietRest);
-    growth_ = at_ == kNever || now <= at_ ? 0 : (piled - piled_) / seconds(now - at_);
-    peak_ = std::max({piled, peak_ * kept, least_peak});
+  // `backlog` may have any unit, as it only counts relative to its peak, which is taken as `min_peak` at
+  // least.
+  void report(Micros now, double load, double backlog, double min_peak) {
+    const double kept = at_ == kNever ? 0 : decay(now - at_, kRebalanceInterval);
+    backlog_growth_ = at_ == kNever || now <= at_ ? 0 : (backlog - backlog_) / seconds(now - at_);
+    peak_backlog_ = std::max({backlog, peak_backlog_ * kept, min_peak});
     load_ = load;
-    piled_ = piled;
+    backlog_ = backlog;
     at_ = now;
   }
   bool known() const { return at_ != kNever; }
   Micros at() const { return at_; }
-  double raw() const { return load_; }
-  // The paper's L at the report, or with its trend over a horizon; work piled up counts against its peak.
-  double weigh(double load, Micros horizon) const {
-    const double piled = std::max(0.0, piled_ + growth_ * seconds(horizon));
-    const double share = peak_ > 0 ? std::min(1.0, piled / peak_) : 0;
-    return kWeightLoad * load + kWeightPiled * share;
+  double reported_load() const { return load_; }
+  // The weighted load L of docs/design.md for the given load, with the backlog extrapolated by `horizon`. The
+  // backlog counts as a share of its recent peak.
+  double weighted_load(double load, Micros horizon) const {
+    const double backlog = std::max(0.0, backlog_ + backlog_growth_ * seconds(horizon));
+    const double share = peak_backlog_ > 0 ? std::min(1.0, backlog / peak_backlog_) : 0;
+    return kLoadWeight * load + kBacklogWeight * share;
   }
 
  private:
   Micros at_ = kNever;
-  double load_ = 0, piled_ = 0, growth_ = 0, peak_ = 0;
+  double load_ = 0, backlog_ = 0, backlog_growth_ = 0, peak_backlog_ = 0;
 };
 
-// How unusual a host's present silence is, given the gaps between its signs of life so far.
-class SilenceJudge {
+// Detects a host that has stopped answering, by the gaps between its answers so far.
+class SilenceDetector {
  public:
-  void sign(Micros now) { gaps_.add(now); }
+  void heard(Micros now) { gaps_.add(now); }
   bool heard_since(Micros t) const { return gaps_.last() != kNever && gaps_.last() >= t; }
-  // So long a gap comes by chance once in a hundred million.
-  bool too_long(Micros now, Micros expected) const {
+  // True if a gap as long as the present one would occur by chance only once in a hundred million.
+  bool too_long(Micros now, Micros expected_gap) const {
     if (!gaps_.known()) return false;
-    const double mean = std::max(gaps_.mean(), seconds(expected));
-    constexpr double kUnusual = 5.612;  // spreads over the mean, of a normal spread
-    return seconds(now - gaps_.last()) - mean > kUnusual * std::max(gaps_.deviation(), mean / 4);
+    const double mean = std::max(gaps_.mean(), seconds(expected_gap));
+    constexpr double kMaxDeviations =
+        5.612;  // standard deviations above the mean, for normally distributed gaps
+    return seconds(now - gaps_.last()) - mean > kMaxDeviations * std::max(gaps_.deviation(), mean / 4);
   }
 
  private:
   GapStatistics gaps_;
 };
 
-// What came lately of what this node sent a host: dials, and probes whose answer a message might have waited
-// for. Tells a host that is bad from here, whatever lies between: a lossy or slow way, a host that hangs or
-// fails by turns. Reports say nothing of it: they are few, and light. Each new spell within a while is
-// forgiven more slowly. Could do harm where hosts are slow with load alone; those are suspended besides.
-class Way {
+// The share of recent dials and probes from this node to one host that failed; a probe that takes longer than
+// the message target has failed too. Detects a host that is bad as seen from this node, whatever the cause: a
+// lossy or slow network path, or a host that hangs or fails intermittently. Load reports do not show this,
+// since probes are few and cost the host little. After each bad period that follows another closely, the path
+// takes longer to count as good again. A host that is slow from load alone may be reported as bad as well; it
+// is also suspended for its load.
+class PathQuality {
  public:
-  void set_half_life(Micros half) {
-    sent_.set_half_life(half);
-    missed_.set_half_life(half);
+  void set_half_life(Micros half_life) {
+    sent_.set_half_life(half_life);
+    failed_.set_half_life(half_life);
   }
-  void met(Micros now, bool well) {
+  // One dial or probe has ended.
+  void record(Micros now, bool success) {
     sent_.add(now, 1);
-    if (!well) missed_.add(now, 1);
-    const double share = missed_.at(now) / (1 + sent_.at(now));
-    if (!bad_ && share > kBad && missed_.at(now) > 1) {  // one alone says little
-      spells_ = bad_until_ == kNever || now - bad_until_ > 2 * kQuietRest ? 0 : std::min(spells_ + 1, 3u);
+    if (!success) failed_.add(now, 1);
+    const double share = failed_.at(now) / (1 + sent_.at(now));
+    if (!bad_ && share > kBadShare && failed_.at(now) > 1) {  // a single failure is no evidence
+      recent_bad_periods_ = last_bad_at_ == kNever || now - last_bad_at_ > 2 * kRebalanceInterval
+                                ? 0
+                                : std::min(recent_bad_periods_ + 1, 3u);
       bad_ = true;
-    } else if (bad_ && share < kBad / (2 << spells_)) {
+    } else if (bad_ && share < kBadShare / (2 << recent_bad_periods_)) {
       bad_ = false;
-      bad_until_ = now;
+      last_bad_at_ = now;
     }
   }
   bool bad() const { return bad_; }
-  bool clear(Micros now) const { return missed_.at(now) < kBad / 3 * (1 + sent_.at(now)); }
+  // Well below the share of failures at which the path turns bad.
+  bool clear(Micros now) const { return failed_.at(now) < kBadShare / 3 * (1 + sent_.at(now)); }
 
  private:
-  static constexpr double kBad = 0.3;
-  DecayingSum sent_{2 * kProbeEvery}, missed_{2 * kProbeEvery};
+  static constexpr double kBadShare = 0.3;
+  DecayingSum sent_{2 * kProbeInterval}, failed_{2 * kProbeInterval};
   bool bad_ = false;
-  unsigned spells_ = 0;
-  Micros bad_until_ = kNever;
+  unsigned recent_bad_periods_ = 0;
+  Micros last_bad_at_ = kNever;
 };
 
-// What a cold host has been sent lately, against this node's part of what would tip it over.
-class ColdGuard {
+// Limits what this node sends to a cold host to its part of what would overload the host.
+class ColdStartLimiter {
  public:
-  explicit ColdGuard(ColdStartLimits rule) : rule_(rule) {}
-  Micros window() const { return rule_.window; }
-  double warmth(Micros age) const {
-    return std::clamp(rule_.initial_share + (1 - rule_.initial_share) * ratio(age, rule_.warm_up),
-                      rule_.initial_share, 1.0);
-  }
-  bool cold(Micros now, Micros started) const { return started > Micros{0} && now - started < rule_.warm_up; }
-  // What a second fills of a host, where so much of all load ends of itself in one: a cold host takes
-  // connections as fast as fills it over its warm-up, also where they live far longer.
-  double filling(double turnover) const { return std::max(turnover, 1 / seconds(rule_.warm_up)); }
-  // `rate`: what this node's part of the warm host takes a second when full, in load. Where that is less than
-  // the session `chance`, drawn for each window, decides, so that all nodes' parts still make one. Guards
-  // against a host that stays empty until it is warm, as each of many nodes may send under one session.
-  bool room(Micros now, Micros started, double rate, double cost, const SlidingSum& sent,
-            double chance) const {
-    const double budget =
-        kCaution * rule_.overload_factor * warmth(now - started) * rate * seconds(rule_.window);
-    const double before = sent.since(now - rule_.window);
-    return before + cost <= budget || (before <= 0 && chance * cost <= kCautionByChance * budget);
+  explicit ColdStartLimiter(ColdStartLimits limits) : limits_(limits) {}
+  Micros window() const { return limits_.window; }
+  // The share of its full capacity that a host of this age has.
+  double capacity_share(Micros age) const {
+    return std::clamp(limits_.initial_share + (1 - limits_.initial_share) * ratio(age, limits_.warm_up),
+                      limits_.initial_share, 1.0);
+  }
+  bool is_cold(Micros now, Micros started) const {
+    return started > Micros{0} && now - started < limits_.warm_up;
+  }
+  // The share of a host that new sessions may fill per second. `turnover`: the share of all load that ends
+  // per second. A cold host is always sent enough to fill it within its warm-up time, even if connections
+  // live much longer than that.
+  double fill_rate(double turnover) const { return std::max(turnover, 1 / seconds(limits_.warm_up)); }
+  // `rate`: the load that this node's part of the warm host takes per second when full. If the budget of a
+  // window is less than the cost of one session, a random number `draw` in [0, 1), drawn once per window,
+  // decides, so that the parts of all nodes still add up. Without this a host would stay empty until it is
+  // warm in a fleet so large that the part of each node is less than one session.
+  bool has_room(Micros now, Micros started, double rate, double cost, const SlidingSum& sent,
+                double draw) const {
+    const double budget = kBudgetShare * limits_.overload_factor * capacity_share(now - started) * rate *
+                          seconds(limits_.window);
+    const double before = sent.since(now - limits_.window);
+    return before + cost <= budget || (before <= 0 && draw * cost <= kRandomBudgetShare * budget);
   }
 
  private:
-  // The rate is an estimate from few sessions; and chance strays from what it makes on the whole.
-  static constexpr double kCaution = 0.75, kCautionByChance = 0.67;
-  ColdStartLimits rule_;
+  // Safety margins: the rate is estimated from few sessions, and random draws deviate from their mean.
+  static constexpr double kBudgetShare = 0.75, kRandomBudgetShare = 0.67;
+  ColdStartLimits limits_;
 };
 
-// How often each host is probed: every interval of the design, or as seldom as it takes for probes to cost a
-// small part of the service of this node's sessions. Guards against many nodes that probe many hosts each
-// second: that costs more than all sessions earn, and loads the hosts besides.
-class ProbePace {
+// Decides how often each host is probed: every kProbeInterval, or less often, so that probes cost only a
+// small share of what this node's sessions earn. Many nodes that each probed many hosts every second would
+// cost more than all sessions earn, and would load the hosts.
+class ProbePacer {
  public:
-  explicit ProbePace(std::optional<double> price) : price_(price), taken_(2 * kQuietRest) {}
+  explicit ProbePacer(std::optional<double> price) : price_(price), sessions_(2 * kRebalanceInterval) {}
   bool allowed() const { return price_.has_value(); }
-  void price_is(std::optional<double> price) { price_ = price; }
-  void took(Micros now) { taken_.add(now, 1); }
+  void set_price(std::optional<double> price) { price_ = price; }
+  void session_started(Micros now) { sessions_.add(now, 1); }
+  // `since`: when counting of sessions began.
   Micros interval(Micros now, Micros since, double hosts) const {
-    const double rate = 1 / seconds(kQuietRest) + taken_.per_second(now, since, 2 * kProbeEvery);
-    const double wanted = price_.value_or(0) * hosts / (kShare * rate);
-    if (wanted < seconds(kCurrent)) return kProbeEvery;  // little is won by a little longer
-    return std::min(Micros{std::llround(wanted * 1e6)}, 100 * kProbeEvery);
+    const double rate =
+        1 / seconds(kRebalanceInterval) + sessions_.per_second(now, since, 2 * kProbeInterval);
+    const double wanted = price_.value_or(0) * hosts / (kCostShare * rate);
+    if (wanted < seconds(kReportLifetime)) return kProbeInterval;  // a slightly longer one saves little
+    return std::min(Micros{std::llround(wanted * 1e6)}, 100 * kProbeInterval);
   }
 
  private:
-  static constexpr double kShare = 0.02;
+  static constexpr double kCostShare = 0.02;  // of the service that this node's sessions get
   std::optional<double> price_;
-  DecayingSum taken_;
+  DecayingSum sessions_;
 };
 
-// Adaptive throttling: where most dials of late failed, whatever the host, the cause is shared, and each
-// further dial feeds it. New ones are then made about as often again as dials are accepted, and a few
-// besides, by which the end of it shows. Guards against retries that keep such a fault going by themselves.
+// Adaptive throttling. If most recent dials failed, whatever the host, their cause is shared by all hosts,
+// and each further dial makes it worse: retries alone could keep such a fault going. While it lasts, about
+// twice as many dials are made as are accepted, and a few more to notice when it is over.
 class DialThrottle {
  public:
   void ended(Micros now, bool accepted) {
     ended_.add(now, 1);
     if (accepted) accepted_.add(now, 1);
   }
-  // Which share of the dials in hand is better not made.
-  double share_held_back(Micros now) const {
+  // The probability with which a new dial should be rejected.
+  double rejection_probability(Micros now) const {
     const double ended = ended_.at(now);
-    return std::max(0.0, ended - kDialsForAccepted * accepted_.at(now) - kFew) / (ended + 1);
+    return std::max(0.0, ended - kDialsPerAccepted * accepted_.at(now) - kIgnoredFailures) / (ended + 1);
   }
 
  private:
-  static constexpr double kDialsForAccepted = 2, kFew = 2;  // a few failures say nothing of a shared cause
-  DecayingSum ended_{2 * kProbeEvery}, accepted_{2 * kProbeEvery};
+  static constexpr double kDialsPerAccepted = 2,
+                          kIgnoredFailures = 2;  // a few failures say nothing of a shared cause
+  DecayingSum ended_{2 * kProbeInterval}, accepted_{2 * kProbeInterval};
 };
 
-struct Host : HostFacts {
-  explicit Host(HostId h) : HostFacts(h, kProbeEvery) {}
+struct Host : HostState {
+  explicit Host(HostId h) : HostState(h, kProbeInterval) {}
   bool suspended = false;
-  bool seems_ill = false;  // as judged at the latest choice
-  bool asking = false;     // before a dial
-  bool shedding = false;   // broke connections off since its last report
+  bool looks_unhealthy = false;    // when a host was last chosen
+  bool probe_before_dial = false;  // sessions wait for a probe of it to end
+  bool shedding_load = false;      // closed connections, and no report since then shows it below suspension
   LoadForecast forecast;
-  SilenceJudge silence;
-  Way way;
-  double probe_due = 0;  // a probe is sent when it reaches one
-  Micros moved_at = kNever, asked_at{0};
-  Micros drawn_at = kNever;  // when `chance` was drawn, for what is left of a cold host's budget
-  double chance = 0;
-  Micros aside_until = kNever, last_pause{0};
-
-  // A failure after the last pause doubles the pause for which the host is passed over. Being accepted proves
-  // little where connections break soon after: only a time without failures ends the doubling. True where the
-  // pause has grown to its longest.
-  bool failed(Micros now) {
-    if (now < aside_until) return false;
-    if (aside_until != kNever && now - aside_until > kQuietRest) last_pause = Micros{0};
-    last_pause = std::clamp(2 * last_pause, kProbeEvery, 8 * kProbeEvery);
-    aside_until = now + last_pause;
-    return last_pause == 8 * kProbeEvery;
+  SilenceDetector silence;
+  PathQuality path;
+  double probe_credit = 0;  // a probe is sent when it reaches one
+  Micros moved_at = kNever, probe_requested_at{0};
+  // For what is left of the budget of a cold host (see ColdStartLimiter::has_room), and when it was drawn.
+  double draw = 0;
+  Micros draw_at = kNever;
+  Micros ejected_until = kNever, ejection_time{0};
+
+  // Ejects the host for a time that doubles with each failure after the end of the last ejection. An accepted
+  // dial does not reset the time, since connections may break soon after; only a period without failures
+  // does. Returns true if the ejection time has reached its maximum.
+  bool record_failure(Micros now) {
+    if (now < ejected_until) return false;
+    if (ejected_until != kNever && now - ejected_until > kRebalanceInterval) ejection_time = Micros{0};
+    ejection_time = std::clamp(2 * ejection_time, kProbeInterval, 8 * kProbeInterval);
+    ejected_until = now + ejection_time;
+    return ejection_time == 8 * kProbeInterval;
   }
 };
 
-// Rule 2: what a session whose dial may have run still permits.
-class Dials {
+// What a session may still do once one of its dials may have run on a host, so that no session runs twice
+// where that does harm.
+class DialRules {
  public:
-  Dials(const Listener& listener, unsigned most) : listener_(listener), most_(most) {}
-  bool again(const Session& s, Micros now) const {
-    if (s.dials >= most_ || now >= s.taken.deadline) return false;
+  DialRules(const Listener& listener, unsigned max_dials) : listener_(listener), max_dials_(max_dials) {}
+  bool may_dial_again(const Session& s, Micros now) const {
+    if (s.dials >= max_dials_ || now >= s.request.deadline) return false;
     if (!s.may_have_run || listener_.effect == Effect::repeatable) return true;
-    return listener_.effect == Effect::referenced && now < s.ran_at + listener_.dedup_window;
+    return listener_.effect == Effect::referenced && now < s.first_run_at + listener_.dedup_window;
   }
-  bool at(const Session& s, const Host& h) const {
+  bool may_dial_host(const Session& s, const Host& h) const {
     if (!s.may_have_run || listener_.effect != Effect::referenced) return true;
     return listener_.dedup_scope == DedupScope::all ||
-           (listener_.dedup_scope == DedupScope::zone && h.zone == s.ran_zone) ||
-           (listener_.dedup_scope == DedupScope::cell && h.cell == s.ran_cell);
+           (listener_.dedup_scope == DedupScope::zone && h.zone == s.first_run_zone) ||
+           (listener_.dedup_scope == DedupScope::cell && h.cell == s.first_run_cell);
   }
   bool may_refuse(const Session& s) const {
     if (!s.may_have_run || listener_.effect == Effect::repeatable) return true;
     return listener_.effect == Effect::referenced && listener_.dedup_scope == DedupScope::all;
   }
-  // Leaves room for another dial before the handshake target; the last one has all the time there is. Where
-  // dials time out at one host after the other the cause is shared, and dialling again would feed it.
-  Micros limit(const Session& s, Micros now, unsigned patience, bool another) const {
-    const Micros left = s.taken.deadline - now;
-    return s.dials + 1 >= most_ || !another ? left
-                                            : std::min(left, listener_.handshake_target / 2 * patience);
+  // The time limit of the next dial. It leaves time for another dial before the handshake target; the last
+  // dial of a session gets all the time that is left. `factor` extends it when dials time out at one host
+  // after another: the cause is then shared by all hosts, and more dials would make it worse.
+  Micros time_limit(const Session& s, Micros now, unsigned factor, bool retry_allowed) const {
+    const Micros left = s.request.deadline - now;
+    return s.dials + 1 >= max_dials_ || !retry_allowed
+               ? left
+               : std::min(left, listener_.handshake_target / 2 * factor);
   }
 
  private:
   const Listener& listener_;
-  unsigned most_;
+  unsigned max_dials_;
 };
 
-// Reasons to pass over the host offered, in the order in which further walks drop them.
-enum Passing : unsigned {
-  crowded = 1,
-  remote = 2,
-  off_group = 4,
-  fresh = 8,
-  tried = 16,
-  ill = 32,
-  barred = 64  // never dropped
+// Reasons to skip a host, as bits. If no host is free of reasons, they are ignored one by one from the
+// lowest.
+enum SkipReason : unsigned {
+  above_mean_load = 1,
+  other_zone = 2,
+  not_group_host = 4,
+  still_cold = 8,
+  already_tried = 16,
+  unhealthy = 32,
+  excluded = 64  // never ignored
 };
 
-// The hosts in the order of their ids, and the pointer into them.
-class Rotation {
+// Round robin over the hosts in the order of their ids.
+class RoundRobin {
  public:
-  explicit Rotation(std::uint64_t start) : next_(start) {}
-  // The next host in turn that no condition passes over; each further walk drops one condition more.
-  Host* choose(HostsById<Host>& hosts, const std::vector<unsigned>& against) {
-    for (unsigned dropped = 0; dropped < barred; dropped = 2 * dropped + 1) {
+  explicit RoundRobin(std::uint64_t start) : next_(start) {}
+  // The next host with no reason to skip it. Each further pass over the hosts ignores one reason more.
+  Host* choose(SortedHosts<Host>& hosts, const std::vector<unsigned>& skip_reasons) {
+    for (unsigned dropped = 0; dropped < excluded; dropped = 2 * dropped + 1) {
       for (std::size_t i = 0; i < hosts.size(); ++i) {
         const std::size_t at = (next_ + i) % hosts.size();
-        if (against[at] & ~dropped) continue;
+        if (skip_reasons[at] & ~dropped) continue;
         next_ = at + 1;
         return &hosts[at];
       }
     }
     return nullptr;
   }
-  void hand_back() { --next_; }  // the host just chosen keeps its turn
+  // The host just chosen stays the next in turn.
+  void undo_choice() { --next_; }
 
  private:
   std::size_t next_;
 };
 
-// Heavy to light: which share of its own load on the heavier of two hosts a node moves off. Every node that
-// sees the pair moves the same share of its own, which together is what the mean asks. No more than the
-// lighter has room for, unless the heavier serves nobody: what is moved beyond that is refused, again and
-// again.
-class Mover {
+class LoadTransfer {
  public:
+  // The share of its own load that a node moves from the heavier of two hosts to the lighter one. Every node
+  // that sees the pair moves the same share, and together they bring the heavier host down to the mean of the
+  // two. Not more than the lighter host has room for, as sessions beyond that would be refused and moved
+  // again and again; unless the heavier host is so overloaded that it serves no session in time.
   static double share(double heavy, double light) {
-    const double aim = std::max((heavy + light) / 2, kFullAt);
-    return heavy > aim ? std::min(heavy - aim, std::max(kFullAt - light, heavy - 1)) / heavy : 0;
+    const double target = std::max((heavy + light) / 2, kFullThreshold);
+    return heavy > target ? std::min(heavy - target, std::max(kFullThreshold - light, heavy - 1)) / heavy : 0;
   }
 };
 
-enum class Leaving { even, relief, drain, heavy };  // why own sessions are moved off a host
+enum class MoveReason { rebalance, relief, drain, heavy_session };  // why sessions are moved away from a host
 
-class Decisions final : public Balancer {
+class BalancerImpl final : public Balancer {
  public:
-  Decisions(BalancerActions& out, std::uint64_t seed, unsigned nodes, ZoneId zone,
-            std::vector<Listener> listeners, DialLimits dials, ColdStartLimits cold, ListPolicy list,
-            Prices prices)
-      : out_(out),
-        chance_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> 32))),
+  BalancerImpl(BalancerActions& actions, std::uint64_t seed, unsigned nodes, ZoneId zone,
+               std::vector<Listener> listeners, DialLimits dials, ColdStartLimits cold, ListPolicy list,
+               Prices prices)
+      : actions_(actions),
+        random_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> 32))),
         nodes_(std::max(1u, nodes)),
         zone_(zone),
         listeners_(std::move(listeners)),
         message_target_(shortest_message_target(listeners_)),
         dial_limits_(dials),
-        budget_(dials.retry_budget),
-        guard_(cold),
+        retry_budget_(dials.retry_budget),
+        cold_limiter_(cold),
         ended_load_(4 * cold.warm_up),
         load_time_(4 * cold.warm_up),
-        full_time_(4 * cold.warm_up),
-        list_(list),
+        filled_time_(4 * cold.warm_up),
+        list_policy_(list),
         crossing_price_(prices.zone_crossing),
-        pace_(prices.probe),
-        rotation_(chance_()),
-        usual_(listeners_.size()) {}
+        probe_pacer_(prices.probe),
+        round_robin_(random_()),
+        session_loads_(listeners_.size()) {}
 
   void set_time(Micros now) override {
     now_ = now;
-    if (began_ != kNever) return;
-    began_ = quiet_since_ = now;
-    // The list serves all nodes: they don't ask it all at once, which fails for most where they are many.
-    if (list_.on_request)
-      ask_list_at_ = now_ + spread(std::min(list_.poll_interval / 2, kBeat * (nodes_ - 1)));
-    out_.set_timer(spread(kBeat), TimerId{0});
+    if (first_time_ != kNever) return;
+    first_time_ = quiet_since_ = now;
+    // The nodes share one list service. If many of them asked at the same time, most requests would fail.
+    if (list_policy_.on_request)
+      list_request_at_ = now_ + random_delay(std::min(list_policy_.poll_interval / 2, kTick * (nodes_ - 1)));
+    actions_.set_timer(random_delay(kTick), TimerId{0});
   }
 
   void set_node_count(unsigned nodes) override { nodes_ = std::max(1u, nodes); }
 
-  void update_settings(std::vector<Listener> listeners, unsigned most_dials, Prices prices) override {
+  void update_settings(std::vector<Listener> listeners, unsigned max_dials, Prices prices) override {
     listeners_ = std::move(listeners);
-    dial_limits_.max_dials = most_dials;
+    dial_limits_.max_dials = max_dials;
     crossing_price_ = prices.zone_crossing;
-    pace_.price_is(prices.probe);
+    probe_pacer_.set_price(prices.probe);
   }
 
-  SessionHandle start_session(SessId id, const SessionRequest& taken) override {
-    Session fresh(id, taken, usual_load(taken));
-    fresh.give_up_at = std::min(now_ + listeners_[taken.listener.value].handshake_target, taken.deadline);
-    if (taken.client) fresh.load = sent_away_.of(*taken.client, now_ - kQuietRest).value_or(fresh.load);
+  SessionHandle start_session(SessId id, const SessionRequest& request) override {
+    Session fresh(id, request, expected_load(request));
+    fresh.wait_until = std::min(now_ + listeners_[request.listener.value].handshake_target, request.deadline);
+    if (request.client)
+      fresh.load = moved_client_loads_.find(*request.client, now_ - kRebalanceInterval).value_or(fresh.load);
     const SlabKey key = sessions_.add(fresh);
-    budget_.took(now_);
-    // Repeats and returns would make a storm look like more sessions.
-    if (!taken.is_reconnect && !taken.is_retry) pace_.took(now_);
-    place(key, *sessions_.find(key));
+    retry_budget_.session_started(now_);
+    // Retries and reconnects of clients would make a retry storm look like more sessions.
+    if (!request.is_reconnect && !request.is_retry) probe_pacer_.session_started(now_);
+    place_session(key, *sessions_.find(key));
     return {this, key};
   }
 
-  SessionHandle adopt_session(SessId id, const SessionRequest& taken, HostId host) override {
-    Session s(id, taken, usual_load(taken));
-    s.dialed(host, now_);
+  SessionHandle adopt_session(SessId id, const SessionRequest& request, HostId host) override {
+    Session s(id, request, expected_load(request));
+    s.dial_started(host, now_);
     const SlabKey key = sessions_.add(s);
-    open(*sessions_.find(key));
+    open_session(*sessions_.find(key));
     return {this, key};
   }
 
@@ -351,161 +374,169 @@
 
   void dial_accepted(SlabKey key, DialNo dial) override {
     Session* s = sessions_.find(key);
-    if (!s || !current(*s, dial)) return;
+    if (!s || !is_current(*s, dial)) return;
     if (Host* h = hosts_.find(s->host)) {
-      --h->dialing;
-      h->silence.sign(now_);
-      h->way.met(now_, true);
+      --h->dials;
+      h->silence.heard(now_);
+      h->path.record(now_, true);
     }
-    patience_ = std::max(1u, patience_ / 2);
+    time_limit_factor_ = std::max(1u, time_limit_factor_ / 2);
     throttle_.ended(now_, true);
-    if (s->state == State::dialing) open(*s);
+    if (s->state == SessionState::dialing) open_session(*s);
   }
 
-  void dial_ended(SlabKey key, DialNo dial, DialOutcome how, bool over) override {
+  void dial_ended(SlabKey key, DialNo dial, DialOutcome outcome, bool over) override {
     Session* s = sessions_.find(key);
-    if (!s || !current(*s, dial)) return;
-    s->dial_out = false;
+    if (!s || !is_current(*s, dial)) return;
+    s->dial_in_progress = false;
     Host* h = hosts_.find(s->host);
-    if (s->state == State::open) {
-      if (h) h->closed(s->load, s->taken.group);
-      if (!s->moved && how != DialOutcome::connection_lost) ended_load_.add(now_, s->load);
-      // A connection that broke off is a failure of its host, unless that was on its way out. A host that
-      // sheds load may report little just after: it gets nothing until a report shows it below suspension.
-      if (h && h->usable() && how == DialOutcome::connection_lost) {
-        set_aside(*h);
-        h->shedding = pace_.allowed();  // where none can come, the pause has to do
+    if (s->state == SessionState::open) {
+      if (h) h->connection_closed(s->load, s->request.group);
+      if (!s->moved && outcome != DialOutcome::connection_lost) ended_load_.add(now_, s->load);
+      // A lost connection is a failure of its host, unless the host is draining or removed. A host that sheds
+      // load may report a low load just after: it gets no session until a report shows it below suspension.
+      if (h && h->usable() && outcome == DialOutcome::connection_lost) {
+        eject(*h);
+        h->shedding_load =
+            probe_pacer_.allowed();  // without probes no report can come, and the ejection has to do
       }
       sessions_.release(key);
       return;
     }
     if (h) {
-      --h->dialing;
-      h->sent.add(now_, -s->charged);
-      if (how == DialOutcome::completed)
-        h->silence.sign(now_);
-      else if (how != DialOutcome::cancelled && how != DialOutcome::not_sent &&
-               !(how == DialOutcome::timed_out && patience_ > 1)) {
-        set_aside(*h);  // where dials time out elsewhere too, the host is not what fails
-        if (how == DialOutcome::timed_out || how == DialOutcome::connect_failed) h->way.met(now_, false);
-        look_ = look_ || h->way.bad();
+      --h->dials;
+      h->recent_load.add(now_, -s->charged_load);
+      if (outcome == DialOutcome::completed)
+        h->silence.heard(now_);
+      else if (outcome != DialOutcome::cancelled && outcome != DialOutcome::not_sent &&
+               !(outcome == DialOutcome::timed_out && time_limit_factor_ > 1)) {
+        eject(*h);  // not if dials to other hosts time out as well: then the cause is not this host
+        if (outcome == DialOutcome::timed_out || outcome == DialOutcome::connect_failed)
+          h->path.record(now_, false);
+        check_hosts_to_leave_ = check_hosts_to_leave_ || h->path.bad();
       }
     }
-    if (how == DialOutcome::timed_out || how == DialOutcome::error_reply) throttle_.ended(now_, false);
-    if (how == DialOutcome::timed_out) patience_ = std::min(2 * patience_, kMostPatience);
-    const bool proven =
-        how == DialOutcome::rejected || how == DialOutcome::connect_failed || how == DialOutcome::not_sent;
-    if (!proven) s->ran(h ? h->zone : ZoneId{}, h ? h->cell : CellId{});
-    if (over || s->state == State::over) return sessions_.release(key);
-    place(key, *s);
+    if (outcome == DialOutcome::timed_out || outcome == DialOutcome::error_reply)
+      throttle_.ended(now_, false);
+    if (outcome == DialOutcome::timed_out)
+      time_limit_factor_ = std::min(2 * time_limit_factor_, kMaxTimeLimitFactor);
+    const bool known_not_run = outcome == DialOutcome::rejected || outcome == DialOutcome::connect_failed ||
+                               outcome == DialOutcome::not_sent;
+    if (!known_not_run) s->record_possible_run(h ? h->zone : ZoneId{}, h ? h->cell : CellId{});
+    if (over || s->state == SessionState::over) return sessions_.release(key);
+    place_session(key, *s);
   }
 
   void client_left(SlabKey key) override {
     Session* s = sessions_.find(key);
-    if (!s || s->state == State::open) return;
-    s->state = State::over;
-    if (!s->dial_out) sessions_.release(key);
+    if (!s || s->state == SessionState::open) return;
+    s->state = SessionState::over;
+    if (!s->dial_in_progress) sessions_.release(key);
   }
 
   void set_load(SlabKey key, double load) override {
     Session* s = sessions_.find(key);
-    if (!s || s->state != State::open) return;
+    if (!s || s->state != SessionState::open) return;
     if (Host* h = hosts_.find(s->host)) h->own_load += load - s->load;
     s->load = load;
-    usual_[s->taken.listener.value].add(load, 0.98);
-    told_ = true;
+    session_loads_[s->request.listener.value].add(load, 0.98);
+    session_load_known_ = true;
   }
 
-  // Work piled up at a host makes its messages late long after its reported load has fallen.
+  // A backlog delays the messages of a host long after its reported load has fallen.
   void set_message_delay(SlabKey key, Micros delay) override {
     Session* s = sessions_.find(key);
-    Host* h = s && s->state == State::open ? hosts_.find(s->host) : nullptr;
+    Host* h = s && s->state == SessionState::open ? hosts_.find(s->host) : nullptr;
     if (!h) return;
-    h->delay = delay;
-    h->delay_at = now_;
-    mark(*h);
+    h->message_delay = delay;
+    h->message_delay_at = now_;
+    update_suspended(*h);
   }
 
-  void timer_expired(TimerId wake) override {
-    if (wake.value == 0) return beat();
-    const SlabKey key = SlabKey::unpacked(wake.value);
+  void timer_expired(TimerId timer) override {
+    if (timer.value == 0) return tick();
+    const SlabKey key = SlabKey::unpacked(timer.value);
     Session* s = sessions_.find(key);
     if (!s) return;
-    s->waiting = false;
-    if (s->state == State::held) place(key, *s);
+    s->timer_set = false;
+    if (s->state == SessionState::waiting) place_session(key, *s);
   }
 
-  void probe_ended(HostId id, DialOutcome how, Micros took, const LoadReport& r) override {
+  void probe_ended(HostId id, DialOutcome outcome, Micros took, const LoadReport& r) override {
     Host* h = hosts_.find(id);
     if (!h) return;
-    const bool answered = how == DialOutcome::completed;
-    if (how != DialOutcome::error_reply && how != DialOutcome::rejected)  // these came back: the way is well
-      h->way.met(now_, answered && (message_target_ == Micros{0} || took <= message_target_) &&
-                           r.load.value_or(0) < kCrippled);
-    look_ = look_ || h->way.bad();
-    if (answered) note_report(*h, r);  // a failed probe keeps the mark
-    if (!std::exchange(h->asking, false)) return;
-    held_.clear();
+    const bool answered = outcome == DialOutcome::completed;
+    if (outcome != DialOutcome::error_reply &&
+        outcome != DialOutcome::rejected)  // an answer of any kind shows that the path works
+      h->path.record(now_, answered && (message_target_ == Micros{0} || took <= message_target_) &&
+                               r.load.value_or(0) < kCrippledLoad);
+    check_hosts_to_leave_ = check_hosts_to_leave_ || h->path.bad();
+    if (answered) record_report(*h, r);  // after a failed probe the host stays suspended or not, as it was
+    if (!std::exchange(h->probe_before_dial, false)) return;
+    probe_waiters_.clear();
     sessions_.for_each([&](SlabKey key, const Session& s) {
-      if (s.state == State::held && s.host == id) held_.push_back(key);
+      if (s.state == SessionState::waiting && s.host == id) probe_waiters_.push_back(key);
     });
-    for (const SlabKey key : held_)
-      if (Session* s = sessions_.find(key)) place(key, *s);
+    for (const SlabKey key : probe_waiters_)
+      if (Session* s = sessions_.find(key)) place_session(key, *s);
   }
 
-  void begin_list(bool whole) override {
-    listing_whole_ = whole;
-    if (!whole) return;
+  void begin_list(bool complete) override {
+    list_complete_ = complete;
+    if (!complete) return;
     for (Host& h : hosts_) h.listed = false;
   }
 
-  void list_host(HostId id, ZoneId zone, CellId cell, HostStatus standing, double share,
+  void list_host(HostId id, ZoneId zone, CellId cell, HostStatus status, double weight,
                  Micros started) override {
     Host* h = hosts_.find(id);
     if (!h) {
-      if (standing == HostStatus::removed) return;
+      if (status == HostStatus::removed) return;
       h = &hosts_.add(Host(id));
-      h->probe_due = std::generate_canonical<double, 32>(chance_);
+      h->probe_credit = std::generate_canonical<double, 32>(random_);
     } else if (started > h->started) {
-      // A host that restarted has lost what was known of it.
+      // After a restart nothing known of the host holds any more.
       h->forecast = {};
       h->silence = {};
-      h->way = {};
-      h->suspended = h->shedding = false;
-      h->aside_until = h->delay_at = kNever;
+      h->path = {};
+      h->suspended = h->shedding_load = false;
+      h->ejected_until = h->message_delay_at = kNever;
     }
-    // A share that falls as its host fills makes an empty one many times the size of its like: a cold host's
-    // budget.
-    look_ = look_ || standing == HostStatus::draining;
-    h->tell(zone, cell, standing, list_.weights_are_capacities ? share : 1, started, now_,
-            list_.only_draining_binds);
+    check_hosts_to_leave_ = check_hosts_to_leave_ || status == HostStatus::draining;
+    // Weights that fall as hosts fill are not used as capacities: an empty host would seem many times larger
+    // than others like it, and so would its budget while it is cold.
+    h->update(zone, cell, status, list_policy_.weights_are_capacities ? weight : 1, started, now_,
+              list_policy_.only_draining_binds);
   }
 
   void end_list() override {
-    list_wait_ = kProbeEvery;
+    list_retry_delay_ = kProbeInterval;
     list_stale_ = false;
-    if (std::exchange(listing_whole_, false))
+    if (std::exchange(list_complete_, false))
       for (Host& h : hosts_)
-        if (!h.listed) h.list_lacks_it(now_, list_.only_draining_binds);
-    hosts_.drop_if([&](const Host& h) {
-      if (h.own || h.dialing || h.off_list == kNever) return false;
-      // Where a list may be wrong, a host that it lacks may come back on it, and one that drained as well.
-      const bool over = h.missing() ? !worth_asking(h) : now_ - h.off_list >= forget_after();
-      if (over) out_.forget_host(h.id);
+        if (!h.listed) h.mark_unlisted(now_, list_policy_.only_draining_binds);
+    hosts_.erase_if([&](const Host& h) {
+      if (h.own_connections || h.dials || h.unlisted_since == kNever) return false;
+      // If the list may be wrong, a host that it does not name may be named again, also one that has drained.
+      const bool over = h.unlisted() ? !worth_probing(h) : now_ - h.unlisted_since >= forget_delay();
+      if (over) actions_.forget_host(h.id);
       return over;
     });
   }
 
-  // Many nodes may fail at once: each waits longer after each failure, by chance, yet well within ask_every.
+  // Many nodes may get no list at the same time. Each waits for a random time that grows with each failure,
+  // but stays well below the poll interval.
   void list_failed() override {
-    out_.log("the list failed, asking again soon");
-    ask_list_at_ = now_ + list_wait_ / 2 + spread(list_wait_);
-    list_wait_ = std::min(2 * list_wait_, std::max(kProbeEvery, list_.poll_interval / 4));
+    actions_.log("host list request failed; retrying after a random delay");
+    list_request_at_ = now_ + list_retry_delay_ / 2 + random_delay(list_retry_delay_);
+    list_retry_delay_ =
+        std::min(2 * list_retry_delay_, std::max(kProbeInterval, list_policy_.poll_interval / 4));
   }
 
-  // Hosts may drain unheard of. Sessions wait for the list as for any host.
+  // Hosts may be draining that this node has not heard of. Sessions wait as they do when no host is
+  // available.
   void list_stale() override {
-    out_.log("the list is stale, sending nothing until it comes");
+    actions_.log("host list is stale; dialling no host until a new list arrives");
     list_stale_ = true;
   }
   void list_usable() override { list_stale_ = false; }
@@ -515,525 +546,590 @@
   }
 
  private:
-  static constexpr Micros kBeat = kProbeEvery / kBeatsPerProbe;
+  static constexpr Micros kTick = kProbeInterval / kTicksPerProbe;
 
-  Micros forget_after() const { return list_.only_draining_binds ? 10 * kQuietRest : Micros{0}; }
-  // A host that the list lacks is believed by its signs of life alone; no more are looked for after a while.
-  bool worth_asking(const Host& h) const {
-    return !h.missing() || h.silence.heard_since(now_ - 2 * kQuietRest) || now_ - h.off_list < 2 * kQuietRest;
+  Micros forget_delay() const {
+    return list_policy_.only_draining_binds ? 10 * kRebalanceInterval : Micros{0};
+  }
+  // A host that is not on the list is used only while it is seen alive; after a time without an answer it is
+  // no longer probed.
+  bool worth_probing(const Host& h) const {
+    return !h.unlisted() || h.silence.heard_since(now_ - 2 * kRebalanceInterval) ||
+           now_ - h.unlisted_since < 2 * kRebalanceInterval;
   }
-  bool vouched(const Host& h) const {
-    if (!h.missing()) return true;
-    return pace_.allowed() ? h.silence.heard_since(now_ - every(h) - kCurrent) : h.own > 0;
+  bool seen_alive(const Host& h) const {
+    if (!h.unlisted()) return true;
+    return probe_pacer_.allowed() ? h.silence.heard_since(now_ - probe_interval(h) - kReportLifetime)
+                                  : h.own_connections > 0;
   }
 
-  Micros spread(Micros over) {
-    return Micros{std::uniform_int_distribution<std::int64_t>(0, over.count())(chance_)};
+  Micros random_delay(Micros over) {
+    return Micros{std::uniform_int_distribution<std::int64_t>(0, over.count())(random_)};
   }
 
-  static bool current(const Session& s, DialNo dial) { return s.dial_out && dial.value + 1 == s.dials; }
+  static bool is_current(const Session& s, DialNo dial) {
+    return s.dial_in_progress && dial.value + 1 == s.dials;
+  }
 
-  double usual_load(const SessionRequest& t) const {
+  // The mean load of sessions at this listener; if none is known, that of the other listeners, else what the
+  // client announced.
+  double expected_load(const SessionRequest& t) const {
     double all = 0, known = 0;
-    for (const DecayingMean& m : usual_) {
+    for (const DecayingMean& m : session_loads_) {
       all += m.value_or(0);
       known += m.known() ? 1 : 0;
     }
-    return usual_[t.listener.value].value_or(known > 0 ? all / known : t.expected_load.value_or(1));
+    return session_loads_[t.listener.value].value_or(known > 0 ? all / known : t.expected_load.value_or(1));
   }
 
-  void note_report(Host& h, const LoadReport& r) {
-    h.silence.sign(now_);
+  void record_report(Host& h, const LoadReport& r) {
+    h.silence.heard(now_);
     const std::optional<double> load = r.load ? r.load : r.cpu_usage;
     if (!load) return;
-    // Where no piled-up work is reported, the load's own forecast stands for it, with capacity as its peak.
-    const std::optional<double> piled = r.backlog ? r.backlog : r.queued_sessions;
-    h.forecast.report(now_, *load, piled.value_or(*load), piled ? 0 : 1);
-    mark(h);
+    // If the host reports no backlog, its load is extrapolated instead, relative to its capacity.
+    const std::optional<double> backlog = r.backlog ? r.backlog : r.queued_sessions;
+    h.forecast.report(now_, *load, backlog.value_or(*load), backlog ? 0 : 1);
+    update_suspended(h);
   }
 
-  void open(Session& s) {
-    s.state = State::open;
+  void open_session(Session& s) {
+    s.state = SessionState::open;
     s.may_have_run = true;
-    if (Host* h = hosts_.find(s.host)) h->opened(s.load, s.taken.group);
+    if (Host* h = hosts_.find(s.host)) h->connection_opened(s.load, s.request.group);
   }
 
-  // The load as reported; with what this node has sent since, as reports are late.
-  double load_of(const Host& h) const {
-    return reported(h, Micros{0}, per_load_ / h.share * h.sent.at(now_));
+  // The reported load, plus what this node has sent to the host since, because reports arrive late.
+  double estimated_load(const Host& h) const {
+    return forecast_load(h, Micros{0}, host_load_per_session_load_ / h.weight * h.recent_load.at(now_));
   }
-  double reported(const Host& h, Micros horizon, double unseen = 0) const {
-    // A few reports of full hosts must not rule out those that nobody has asked yet.
-    if (!h.forecast.known() && mean_known_) return std::min(mean_load_, kFullAt - kLightAt) + unseen;
-    if (!h.forecast.known()) return mean_own_ > 0 ? h.own / mean_own_ / 2 : 0;
-    // What its messages wait for has to be done beside what is asked; no note for a while means little waits.
-    const bool noted = h.delay_at != kNever && now_ - h.delay_at < kCurrent;
-    const double waiting = noted ? ratio(h.delay, kCurrent) : 0;
-    return h.forecast.weigh(h.forecast.raw() + unseen + waiting, horizon);
+  double forecast_load(const Host& h, Micros horizon, double unreported = 0) const {
+    // A host without a report counts as having room: reports of a few full hosts must not exclude those that
+    // have not been probed yet.
+    if (!h.forecast.known() && mean_known_)
+      return std::min(mean_load_, kFullThreshold - kLightThreshold) + unreported;
+    if (!h.forecast.known()) return mean_connections_ > 0 ? h.own_connections / mean_connections_ / 2 : 0;
+    // The work that delays messages has to be done in addition to the offered load. No measurement for a
+    // while means that little is waiting.
+    const bool noted = h.message_delay_at != kNever && now_ - h.message_delay_at < kReportLifetime;
+    const double waiting = noted ? ratio(h.message_delay, kReportLifetime) : 0;
+    return h.forecast.weighted_load(h.forecast.reported_load() + unreported + waiting, horizon);
   }
 
-  // The mean load of the hosts in use, for new ones and for comparison.
-  void take_means() {
+  // Means over the usable hosts: for comparison, and as estimates for hosts without a report.
+  void update_means() {
     double load = 0, known = 0, own = 0, all = 0, own_load = 0, carried = 0, groups = 0, seen = 0,
            unasked = 0;
-    full_ = 0;
+    filled_hosts_ = 0;
     for (const Host& h : hosts_) {
       if (!h.usable()) continue;
-      const bool cold = guard_.cold(now_, h.started);
+      const bool cold = cold_limiter_.is_cold(now_, h.started);
       all += 1;
-      own += h.own;
-      groups += static_cast<double>(h.groups.kinds());
+      own += h.own_connections;
+      groups += static_cast<double>(h.groups.size());
       own_load += h.own_load;
       if (!h.forecast.known()) {
-        unasked += cold ? 0 : 1;  // a cold one is taken to be empty yet
+        unasked += cold ? 0 : 1;  // a cold host counts as empty
         continue;
       }
       known += 1;
-      load += load_of(h);
-      carried += h.forecast.raw() * h.share;
-      seen += h.own_load - h.sent.at(now_);
-      full_ += h.forecast.raw() * h.share * (cold ? guard_.warmth(now_ - h.started) : 1);
+      load += estimated_load(h);
+      carried += h.forecast.reported_load() * h.weight;
+      seen += h.own_load - h.recent_load.at(now_);
+      filled_hosts_ +=
+          h.forecast.reported_load() * h.weight * (cold ? cold_limiter_.capacity_share(now_ - h.started) : 1);
     }
-    // This node's part of what a full host of usual size takes a second: what fills of it in one, times this
-    // node's part of the load that fills it, both over a while, as a node of many holds next to nothing at
-    // most moments. Neither grows in a rush, while loads still build up, or when another node's clients come
-    // here; and all nodes' parts make one.
-    if (known > 0) full_ *= (known + unasked) / known;
-    const double lived = load_time_.at(now_), filled = full_time_.at(now_);
-    if (filled > 0)
-      per_share_ = lived > 0 ? guard_.filling(ended_load_.at(now_) / lived) * lived / filled : 0;
+    // This node's part of the load that a full host of weight 1 takes per second: the share of a host that
+    // fills per second, times this node's part of the load that fills hosts. Both are means over a long time,
+    // since one of many nodes has almost no sessions at most moments. Neither rises in a burst of sessions,
+    // while their loads still build up, or when clients of another node come to this one; and the parts of
+    // all nodes add up to one.
+    if (known > 0) filled_hosts_ *= (known + unasked) / known;
+    const double load_seconds = load_time_.at(now_), filled_seconds = filled_time_.at(now_);
+    if (filled_seconds > 0)
+      fill_rate_per_weight_ =
+          load_seconds > 0
+              ? cold_limiter_.fill_rate(ended_load_.at(now_) / load_seconds) * load_seconds / filled_seconds
+              : 0;
     mean_known_ = known > 0;
     mean_load_ = known > 0 ? load / known : 0;
-    mean_own_ = all > 0 ? own / all : 0;
-    sees_groups_ = own >= kFewOfGroup * groups;
+    mean_connections_ = all > 0 ? own / all : 0;
+    groups_visible_ = own >= kMinConnectionsPerGroup * groups;
     if (own_load <= 0) return;
-    mean_session_ = own_load / own;
-    // A node with few sessions, as after a restart, must not take each for a good part of a host.
-    // While sessions are refused every node has some waiting, and all fill a gap that shows at the same time.
-    // Guards against reports that show nothing yet, as when all nodes restart: nothing would seem to weigh.
-    const double most = kLightAt / mean_session_;
+    mean_session_load_ = own_load / own;
+    // The host load caused by a unit of session load is estimated from this node's part of the reported
+    // loads. It is limited, as a node with few sessions, for example after a restart, must not take each for
+    // a large part of a host. While sessions are refused it is multiplied by the number of nodes: every node
+    // has sessions waiting, and all of them fill a host as soon as it has room. The limit itself is used
+    // while reports do not show the sessions yet, as after a restart of all nodes; else sessions would seem
+    // to cause no load.
+    const double most = kLightThreshold / mean_session_load_;
     const bool shown = known < 1 || carried > 0 || seen > own_load / 2;
     const double alone = shown ? std::min(carried / (nodes_ * own_load), most) : most;
-    per_load_ = std::min((full() ? nodes_ : 1) * alone, 2 * most);
-    // No host does less than one core does. Guards against a node that holds one or two sessions of all the
-    // fleet's, and takes each for a good part of a host, and the hosts that it sends them to for full.
-    if (told_) per_load_ = std::min(per_load_, kOneCore);
+    host_load_per_session_load_ = std::min((fleet_full() ? nodes_ : 1) * alone, 2 * most);
+    // A host has the capacity of one core at least. Otherwise a node that holds one or two of all sessions of
+    // the fleet would take each for a large part of a host, and the hosts that it sends them to for full.
+    if (session_load_known_)
+      host_load_per_session_load_ = std::min(host_load_per_session_load_, kMaxHostLoadPerSessionLoad);
   }
 
-  void set_aside(Host& h) {
-    if (h.failed(now_)) out_.log("fails again and again, passed over for eight probe intervals", h.id);
+  void eject(Host& h) {
+    if (h.record_failure(now_)) actions_.log("host keeps failing; ejected for 8 probe intervals", h.id);
   }
 
-  void mark(Host& h) {
-    h.suspended = reported(h, kProbeEvery) >= kSuspendAt;
-    h.shedding = h.shedding && h.suspended;
+  void update_suspended(Host& h) {
+    h.suspended = forecast_load(h, kProbeInterval) >= kSuspendThreshold;
+    h.shedding_load = h.shedding_load && h.suspended;
   }
 
-  Host* choose(const Session& s, const Dials& dials) {
+  Host* choose(const Session& s, const DialRules& rules) {
     if (list_stale_) return nullptr;
-    take_means();
-    int more_ill = 0;
-    bool held = false;
+    update_means();
+    int unhealthy_surplus = 0;
+    bool group_has_host = false;
     for (Host& h : hosts_) {
       if (!h.usable()) continue;
-      h.seems_ill = ill_now(h);
-      more_ill += h.seems_ill ? 1 : -1;
-      held = held || (!h.seems_ill && h.holds(s.taken.group));
+      h.looks_unhealthy = is_unhealthy(h);
+      unhealthy_surplus += h.looks_unhealthy ? 1 : -1;
+      group_has_host = group_has_host || (!h.looks_unhealthy && h.has_group(s.request.group));
     }
-    // When most look ill, the judgement is suspect; else a host that fails is no way out where all are full.
-    const bool before = std::exchange(suspect_, more_ill > 0);
-    if (suspect_ && !before) out_.log("most hosts look ill, using them all the same");
-    against_.clear();
-    for (Host& h : hosts_) against_.push_back(reasons(h, s, dials, held));
-    if (s.taken.group) keep_together(*s.taken.group);
-    return rotation_.choose(hosts_, against_);
-  }
-
-  bool ill_now(const Host& h) const {
-    return now_ < h.aside_until || h.way.bad() || h.silence.too_long(now_, every(h)) || !vouched(h);
-  }
-  // Setting a session up is work too: a light one costs a cold host as much as any. Guards against many light
-  // ones that are sent at once since their load is small.
-  double cold_cost(const Session& s) const { return std::max(s.load, mean_session_); }
-
-  static bool no_room(const Host& h, double load) { return h.shedding || h.suspended || load >= kFullAt; }
-
-  unsigned reasons(Host& h, const Session& s, const Dials& dials, bool held) {
-    if (!h.usable() || !dials.at(s, h)) return barred;
-    unsigned against = 0;
-    if (guard_.cold(now_, h.started)) {
-      // A node that has just started doesn't know what it sent before.
-      if (now_ - began_ < guard_.window()) return barred;
-      if (h.drawn_at == kNever || now_ - h.drawn_at >= guard_.window()) {
-        h.drawn_at = now_;
-        h.chance = std::generate_canonical<double, 32>(chance_);
+    // If most hosts look unhealthy, the judgement itself is doubtful, and they may be used. Otherwise an
+    // unhealthy host is not used even if all others are full.
+    const bool before = std::exchange(health_suspect_, unhealthy_surplus > 0);
+    if (health_suspect_ && !before)
+      actions_.log("most hosts look unhealthy; ignoring health when choosing a host");
+    skip_reasons_.clear();
+    for (Host& h : hosts_) skip_reasons_.push_back(skip_reasons(h, s, rules, group_has_host));
+    if (s.request.group) prefer_group_hosts(*s.request.group);
+    return round_robin_.choose(hosts_, skip_reasons_);
+  }
+
+  bool is_unhealthy(const Host& h) const {
+    return now_ < h.ejected_until || h.path.bad() || h.silence.too_long(now_, probe_interval(h)) ||
+           !seen_alive(h);
+  }
+  // A session costs a cold host the mean load at least, because setting it up is work as well. Otherwise many
+  // light sessions could be sent to it at once.
+  double cold_cost(const Session& s) const { return std::max(s.load, mean_session_load_); }
+
+  static bool is_full(const Host& h, double load) {
+    return h.shedding_load || h.suspended || load >= kFullThreshold;
+  }
+
+  unsigned skip_reasons(Host& h, const Session& s, const DialRules& rules, bool group_has_host) {
+    if (!h.usable() || !rules.may_dial_host(s, h)) return excluded;
+    unsigned skip = 0;
+    if (cold_limiter_.is_cold(now_, h.started)) {
+      // A node that has just started does not know what it sent before its restart.
+      if (now_ - first_time_ < cold_limiter_.window()) return excluded;
+      if (h.draw_at == kNever || now_ - h.draw_at >= cold_limiter_.window()) {
+        h.draw_at = now_;
+        h.draw = std::generate_canonical<double, 32>(random_);
       }
-      if (!guard_.room(now_, h.started, per_share_ * h.share, cold_cost(s), h.cold_sent, h.chance))
-        return barred;
-      const double warm = guard_.warmth(now_ - h.started);
-      if (std::generate_canonical<double, 32>(chance_) > warm) against |= fresh;
+      if (!cold_limiter_.has_room(now_, h.started, fill_rate_per_weight_ * h.weight, cold_cost(s),
+                                  h.sent_while_cold, h.draw))
+        return excluded;
+      const double warm = cold_limiter_.capacity_share(now_ - h.started);
+      if (std::generate_canonical<double, 32>(random_) > warm) skip |= still_cold;
     }
-    // A group that this node has nowhere must start somewhere.
-    const double load = load_of(h) + (held ? copy_charge(h, s) * per_load_ / h.share : 0);
-    // Loads swing, and near what it can do a host serves few, past it nobody: a session is better refused.
-    if (no_room(h, load)) return barred;
-    if (load > kCrowded * mean_load_) against |= crowded;
-    if (h.zone != zone_ && crossing_price_ > 0) against |= remote;
-    if (s.has_tried(h.id)) against |= tried;
-    if (h.seems_ill) against |= suspect_ ? ill : barred;
-    return against >= (s.dials > 0 ? tried : barred) ? unsigned{barred} : against;
-  }
-
-  double copy_charge(const Host& h, const Session& s) const {  // nothing tells it: that of a few sessions
-    return s.taken.group && !h.holds(s.taken.group) ? std::min(kCopy * nodes_, kMostCopy) * mean_session_ : 0;
-  }
-
-  // Each host that holds any of a group pays for it once more: the group's sessions pass over the others
-  // while one that holds it is as fit as any. A group that none such holds starts at a host that every node
-  // works out alike, from ids, so that it does not spread over as many hosts as there are nodes.
-  void keep_together(GroupId group) {
-    // Where crossing is dear and the fleet has room, a copy in this zone costs less than crossing.
-    const unsigned minor = mean_load_ < kDear * crossing_price_ ? unsigned{crowded} : crowded | remote;
-    const unsigned far = minor & remote;
-    unsigned best = barred, best_all = barred;
-    for (const unsigned a : against_) {
+    // The cost of a further host for the group counts only if the group has one: it must start somewhere.
+    const double load =
+        estimated_load(h) + (group_has_host ? group_cost(h, s) * host_load_per_session_load_ / h.weight : 0);
+    // Loads vary. Near its capacity a host serves few sessions in time, and beyond it none: it is better to
+    // refuse a session.
+    if (is_full(h, load)) return excluded;
+    if (load > kAboveMeanFactor * mean_load_) skip |= above_mean_load;
+    if (h.zone != zone_ && crossing_price_ > 0) skip |= other_zone;
+    if (s.has_tried(h.id)) skip |= already_tried;
+    if (h.looks_unhealthy) skip |= health_suspect_ ? unhealthy : excluded;
+    return skip >= (s.dials > 0 ? already_tried : excluded) ? unsigned{excluded} : skip;
+  }
+
+  // The load of serving a group on one more host. It is not reported, and taken to be that of a few sessions.
+  double group_cost(const Host& h, const Session& s) const {
+    return s.request.group && !h.has_group(s.request.group)
+               ? std::min(kGroupCostPerNode * nodes_, kMaxGroupCost) * mean_session_load_
+               : 0;
+  }
+
+  // Serving a group costs each host that has any of its sessions. The group's sessions therefore skip the
+  // other hosts as long as a host of the group suits as well as any. A group without such a host starts at
+  // one that every node derives alike from ids, so that it does not spread over as many hosts as there are
+  // nodes.
+  void prefer_group_hosts(GroupId group) {
+    // If zone crossing is expensive and the fleet has room, a further host in this zone costs less than
+    // crossing.
+    const unsigned minor = mean_load_ < kExpensiveCrossingFactor * crossing_price_
+                               ? unsigned{above_mean_load}
+                               : above_mean_load | other_zone;
+    const unsigned far = minor & other_zone;
+    unsigned best = excluded, best_all = excluded;
+    for (const unsigned a : skip_reasons_) {
       best = std::min(best, a & ~minor);
       best_all = std::min(best_all, a & ~far);
     }
-    if (best >= barred) return;
+    if (best >= excluded) return;
     ranks_.clear();
     bool held = false;
-    double home = 0, count = 0, own = kPriorOwn;
+    double home = 0, count = 0, own = kPriorConnections;
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
-      // Guards against a group whose best hosts are all bad from here: it has no place, and waits in vain.
-      const bool counts = hosts_[i].usable() && (suspect_ || !hosts_[i].way.bad());
+      // Hosts with a bad path get no rank: a group whose best hosts are all bad from here would find no host.
+      const bool counts = hosts_[i].usable() && (health_suspect_ || !hosts_[i].path.bad());
       ranks_.push_back(counts ? rank(group, hosts_[i]) : 0);
-      count += hosts_[i].groups.of(group);
-      own += hosts_[i].own;
-      held = held || (sees_groups_ && (against_[i] & ~minor) == best && hosts_[i].holds(group));
-      if ((against_[i] & ~far) == best_all) home = std::max(home, ranks_[i]);
+      count += hosts_[i].groups.count(group);
+      own += hosts_[i].own_connections;
+      held = held || (groups_visible_ && (skip_reasons_[i] & ~minor) == best && hosts_[i].has_group(group));
+      if ((skip_reasons_[i] & ~far) == best_all) home = std::max(home, ranks_[i]);
     }
-    const bool room_is_sure = mean_known_ && mean_load_ < kFullAt - kLightAt;
-    const double least = room_is_sure ? 0 : least_rank(count / own);
+    const bool room_is_sure = mean_known_ && mean_load_ < kFullThreshold - kLightThreshold;
+    const double least = room_is_sure ? 0 : rank_limit(count / own);
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
       const Host& host = hosts_[i];
-      if (held ? !host.holds(group) : ranks_[i] != home) against_[i] |= off_group;
-      if (ranks_[i] <= least && !host.holds(group) && !guard_.cold(now_, host.started)) against_[i] |= barred;
+      if (held ? !host.has_group(group) : ranks_[i] != home) skip_reasons_[i] |= not_group_host;
+      if (ranks_[i] <= least && !host.has_group(group) && !cold_limiter_.is_cold(now_, host.started))
+        skip_reasons_[i] |= excluded;
     }
   }
 
-  // Where room is short, or no report says whether it is, a group keeps to its best hosts: three, and as many
-  // more as its part of the sessions asks for, all of a higher rank than this. Guards against one more copy
-  // for each session that finds those full, until copies fill the fleet. Cold hosts are not counted and take
-  // any group: after a release half of a fleet is cold, with nothing but room.
-  double least_rank(double part) {
-    sorted_.clear();
+  // If room is short, or no report tells, a group may use only the hosts that rank above this limit: three,
+  // and more in proportion to its share of the sessions. Otherwise each session that finds the group's hosts
+  // full would add a host to the group, until the cost of its groups fills the fleet. Cold hosts are not
+  // counted and may take any group: after a release half of a fleet is cold, and has all the room.
+  double rank_limit(double session_share) {
+    sorted_ranks_.clear();
     for (std::size_t i = 0; i < hosts_.size(); ++i)
-      if (!guard_.cold(now_, hosts_[i].started)) sorted_.push_back(ranks_[i]);
-    // The longer nothing is placed at all, the further it looks.
-    const double rounds = full() ? 1 + std::floor(ratio(now_ - refusing_since_, kCurrent)) : 1;
-    const double wanted = rounds * kFewestHosts + std::ceil(part * static_cast<double>(sorted_.size()));
-    if (wanted >= static_cast<double>(sorted_.size())) return 0;
-    const auto last = sorted_.begin() + static_cast<std::ptrdiff_t>(wanted);
-    std::nth_element(sorted_.begin(), last, sorted_.end(), std::greater<>());
+      if (!cold_limiter_.is_cold(now_, hosts_[i].started)) sorted_ranks_.push_back(ranks_[i]);
+    // More hosts are allowed the longer no session at all has been placed.
+    const double rounds =
+        fleet_full() ? 1 + std::floor(ratio(now_ - nothing_placed_since_, kReportLifetime)) : 1;
+    const double wanted =
+        rounds * kMinGroupHosts + std::ceil(session_share * static_cast<double>(sorted_ranks_.size()));
+    if (wanted >= static_cast<double>(sorted_ranks_.size())) return 0;
+    const auto last = sorted_ranks_.begin() + static_cast<std::ptrdiff_t>(wanted);
+    std::nth_element(sorted_ranks_.begin(), last, sorted_ranks_.end(), std::greater<>());
     return *last;
   }
 
-  // How well a host suits a group, the same at every node: by chance, as often as its size says.
+  // How well a host suits a group: a weighted rendezvous hash, and so the same at every node. A host ranks
+  // first for a share of the groups that is proportional to its weight.
   static double rank(GroupId group, const Host& h) {
-    const double chance =
+    const double uniform =
         std::ldexp(static_cast<double>(mix(group.value ^ mix(h.id.value)) >> 11) + 0.5, -53);
-    return -h.share / std::log(chance);
-  }
-
-  void place(SlabKey key, Session& s) {
-    const Dials dials(listeners_[s.taken.listener.value], dial_limits_.max_dials);
-    s.state = State::held;
-    // Where the rules ration further dials and none is left, waiting for one would hold the answer back.
-    if (!dials.again(s, now_)) return give_up(key, s, dials, RefusalReason::no_dials_left);
-    if (s.dials > 0 && !budget_.allows(now_)) return give_up(key, s, dials, RefusalReason::no_budget_left);
-    if (full() && heavy(s)) return give_up(key, s, dials, RefusalReason::fleet_full);
-    const double held_back = throttle_.share_held_back(now_);
-    if (held_back > 0 && dials.may_refuse(s) && std::generate_canonical<double, 32>(chance_) < held_back)
-      return give_up(key, s, dials, RefusalReason::throttled);
-    Host* h = choose(s, dials);
+    return -h.weight / std::log(uniform);
+  }
+
+  void place_session(SlabKey key, Session& s) {
+    const DialRules rules(listeners_[s.request.listener.value], dial_limits_.max_dials);
+    s.state = SessionState::waiting;
+    // If no retry is allowed, the session ends now: waiting for one would only delay the answer.
+    if (!rules.may_dial_again(s, now_)) return give_up(key, s, rules, RefusalReason::no_dials_left);
+    if (s.dials > 0 && !retry_budget_.allows_retry(now_))
+      return give_up(key, s, rules, RefusalReason::no_budget_left);
+    if (fleet_full() && is_heavy(s)) return give_up(key, s, rules, RefusalReason::fleet_full);
+    const double rejection_probability = throttle_.rejection_probability(now_);
+    if (rejection_probability > 0 && rules.may_refuse(s) &&
+        std::generate_canonical<double, 32>(random_) < rejection_probability)
+      return give_up(key, s, rules, RefusalReason::throttled);
+    Host* h = choose(s, rules);
     if (!h) {
       const bool all_full = !list_stale_ && std::any_of(hosts_.begin(), hosts_.end(), [&](const Host& x) {
-        return x.usable() && no_room(x, load_of(x));
+        return x.usable() && is_full(x, estimated_load(x));
       });
-      if (all_full && mean_load_ >= kFullAt - kLightAt) {
-        if (!full()) {
-          out_.log("no host has room, refusing sessions");
-          refusing_since_ = now_;
+      if (all_full && mean_load_ >= kFullThreshold - kLightThreshold) {
+        if (!fleet_full()) {
+          actions_.log("no host has room; refusing sessions");
+          nothing_placed_since_ = now_;
         }
-        full_at_ = now_;
+        fleet_full_at_ = now_;
       }
-      if (now_ >= s.give_up_at || all_full || s.dials > 0) {
+      if (now_ >= s.wait_until || all_full || s.dials > 0) {
         const RefusalReason no_choice = all_full ? RefusalReason::fleet_full : RefusalReason::no_host;
-        return give_up(key, s, dials, list_stale_ ? RefusalReason::list_stale : no_choice);
+        return give_up(key, s, rules, list_stale_ ? RefusalReason::list_stale : no_choice);
       }
-      return hold(key, s);
+      return wait(key, s);
     }
-    if (must_ask(*h, s)) {
-      rotation_.hand_back();
+    if (needs_probe(*h, s)) {
+      round_robin_.undo_choice();
       s.host = h->id;
-      if (!std::exchange(h->asking, true)) out_.probe(h->id);
-      h->asked_at = now_;
-      return hold(key, s);
+      if (!std::exchange(h->probe_before_dial, true)) actions_.probe(h->id);
+      h->probe_requested_at = now_;
+      return wait(key, s);
     }
-    if (guard_.cold(now_, h->started)) h->cold_sent.add(now_, cold_cost(s), now_ - guard_.window());
-    refusing_since_ = now_;
-    if (s.dials > 0) budget_.spend(now_);
-    // With no other dial to be had after it, this one has all the time there is.
-    const Micros limit = dials.limit(s, now_, patience_, budget_.allows(now_));
-    s.dialed(h->id, now_);
-    ++h->dialing;
-    s.charged = s.load + copy_charge(*h, s);
-    h->sent.add(now_, s.charged);
-    out_.dial(s.id, h->id, limit);
+    if (cold_limiter_.is_cold(now_, h->started))
+      h->sent_while_cold.add(now_, cold_cost(s), now_ - cold_limiter_.window());
+    nothing_placed_since_ = now_;
+    if (s.dials > 0) retry_budget_.record_retry(now_);
+    // If no retry is left after it, this dial gets all the time that is left.
+    const Micros limit = rules.time_limit(s, now_, time_limit_factor_, retry_budget_.allows_retry(now_));
+    s.dial_started(h->id, now_);
+    ++h->dials;
+    s.charged_load = s.load + group_cost(*h, s);
+    h->recent_load.add(now_, s.charged_load);
+    actions_.dial(s.id, h->id, limit);
   }
 
-  static bool holds_own(const Host& h) { return h.own || h.dialing; }
-  Micros every(const Host& h) const { return holds_own(h) ? own_every_ : idle_every_; }
+  static bool is_used(const Host& h) { return h.own_connections || h.dials; }
+  Micros probe_interval(const Host& h) const {
+    return is_used(h) ? used_host_interval_ : idle_host_interval_;
+  }
 
-  void hold(SlabKey key, Session& s) {
-    if (!std::exchange(s.waiting, true))
-      out_.set_timer(std::min(kBeat, s.give_up_at - now_), TimerId{key.packed()});
+  void wait(SlabKey key, Session& s) {
+    if (!std::exchange(s.timer_set, true))
+      actions_.set_timer(std::min(kTick, s.wait_until - now_), TimerId{key.packed()});
   }
 
-  // Where probes are seldom, the host offered is asked before the dial unless its report is current. Guards
-  // against dials to full hosts of which the node knows nothing. No session waits long for that.
-  bool must_ask(const Host& h, const Session& s) const {
-    if (probe_every_ <= kCurrent) return false;
-    if (s.give_up_at - now_ < listeners_[s.taken.listener.value].handshake_target * 3 / 4) return false;
-    return h.asking || now_ - std::max(h.forecast.at(), h.asked_at) > kCurrent;
+  // If probes are infrequent, a host is probed before it is dialled unless its report is current. Otherwise
+  // sessions would be sent to full hosts that the node knows nothing about. A session waits for this only
+  // during the first quarter of its handshake target.
+  bool needs_probe(const Host& h, const Session& s) const {
+    if (probe_interval_ <= kReportLifetime) return false;
+    if (s.wait_until - now_ < listeners_[s.request.listener.value].handshake_target * 3 / 4) return false;
+    return h.probe_before_dial || now_ - std::max(h.forecast.at(), h.probe_requested_at) > kReportLifetime;
   }
 
-  bool full() const { return full_at_ != kNever && now_ - full_at_ < 2 * kProbeEvery; }  // of late
-  bool heavy(const Session& s) const { return s.load > kHeavy * usual_load(s.taken); }
+  // Whether no host had room recently.
+  bool fleet_full() const { return fleet_full_at_ != kNever && now_ - fleet_full_at_ < 2 * kProbeInterval; }
+  bool is_heavy(const Session& s) const { return s.load > kHeavyFactor * expected_load(s.request); }
 
-  // While sessions are refused, one that costs far more than usual takes the place of several.
-  void let_go_heavy() {
-    if (!full()) return;
+  // While sessions are refused, a session that is much heavier than usual takes the room of several.
+  void move_heavy_sessions() {
+    if (!fleet_full()) return;
     for (Host& h : hosts_)
-      if (h.usable() && load_of(h) >= kFullAt - kLightAt) move_off(h, h.own_load * kLightAt, Leaving::heavy);
+      if (h.usable() && estimated_load(h) >= kFullThreshold - kLightThreshold)
+        move_sessions(h, h.own_load * kLightThreshold, MoveReason::heavy_session);
   }
 
-  void give_up(SlabKey key, Session& s, const Dials& dials, RefusalReason why) {
-    if (dials.may_refuse(s))
-      out_.refuse(s.id, std::min(dial_limits_.max_retry_after, spread(kProbeEvery)), why);
+  void give_up(SlabKey key, Session& s, const DialRules& rules, RefusalReason why) {
+    if (rules.may_refuse(s))
+      actions_.refuse(s.id, std::min(dial_limits_.max_retry_after, random_delay(kProbeInterval)), why);
     else
-      out_.tear_down(s.id, why);
+      actions_.tear_down(s.id, why);
     sessions_.release(key);
   }
 
-  void beat() {
-    out_.set_timer(kBeat, TimerId{0});
-    if (ask_list_at_ != kNever && now_ >= ask_list_at_) {
-      ask_list_at_ = kNever;
-      out_.watch_list();
+  void tick() {
+    actions_.set_timer(kTick, TimerId{0});
+    if (list_request_at_ != kNever && now_ >= list_request_at_) {
+      list_request_at_ = kNever;
+      actions_.watch_list();
     }
-    probe_every_ = own_every_ = idle_every_ =
-        pace_.interval(now_, began_, static_cast<double>(hosts_.size()));
-    if (probe_every_ > kCurrent) {
-      // The same price buys more where own sessions are. Guards against a host that stays overloaded since
-      // none of the many nodes that each have a session there asks it in time.
-      const double asked = holders_ + kIdleProbes * (static_cast<double>(hosts_.size()) - holders_);
-      own_every_ = std::max(kCurrent, pace_.interval(now_, began_, asked));
-      idle_every_ = Micros{std::llround(static_cast<double>(own_every_.count()) / kIdleProbes)};
+    probe_interval_ = used_host_interval_ = idle_host_interval_ =
+        probe_pacer_.interval(now_, first_time_, static_cast<double>(hosts_.size()));
+    if (probe_interval_ > kReportLifetime) {
+      // For the same total price, hosts with sessions of this node are probed more often. Otherwise a host
+      // stays overloaded when many nodes have a session there and none of them probes it in time.
+      const double asked = used_hosts_ + kIdleProbeRate * (static_cast<double>(hosts_.size()) - used_hosts_);
+      used_host_interval_ = std::max(kReportLifetime, probe_pacer_.interval(now_, first_time_, asked));
+      idle_host_interval_ =
+          Micros{std::llround(static_cast<double>(used_host_interval_.count()) / kIdleProbeRate)};
     }
-    full_time_.add(now_, full_ * seconds(kBeat));
-    // Where probes are seldom a part of the hosts has its turn at each beat, all of them within an interval.
-    // Guards against a node of many that spends its time on looking at a large fleet of which it uses next to
-    // nothing.
-    const unsigned turns = probe_every_ > kCurrent ? kBeatsPerProbe : 1;
-    if (beats_ % turns == 0) holders_ = std::exchange(counted_, 0);
+    filled_time_.add(now_, filled_hosts_ * seconds(kTick));
+    // If probes are infrequent, each tick looks at a part of the hosts only, and all are looked at within
+    // kProbeInterval. One of many nodes would otherwise spend its time on a large fleet of which it uses
+    // almost nothing.
+    const unsigned turns = probe_interval_ > kReportLifetime ? kTicksPerProbe : 1;
+    if (ticks_ % turns == 0) used_hosts_ = std::exchange(used_hosts_counted_, 0);
     double own_load = 0;
-    for (std::size_t i = beats_ % turns; i < hosts_.size(); i += turns) {
+    for (std::size_t i = ticks_ % turns; i < hosts_.size(); i += turns) {
       Host& h = hosts_[i];
-      counted_ += holds_own(h) ? 1 : 0;
+      used_hosts_counted_ += is_used(h) ? 1 : 0;
       own_load += h.own_load;
-      h.sent.set_half_life(every(h));
-      h.way.set_half_life(2 * every(h));
-      if (!pace_.allowed() || !h.usable() || !worth_asking(h)) continue;
-      if ((h.probe_due += turns * ratio(kBeat, every(h))) < 1) continue;
-      h.probe_due -= 1;
-      out_.probe(h.id);
+      h.recent_load.set_half_life(probe_interval(h));
+      h.path.set_half_life(2 * probe_interval(h));
+      if (!probe_pacer_.allowed() || !h.usable() || !worth_probing(h)) continue;
+      if ((h.probe_credit += turns * ratio(kTick, probe_interval(h))) < 1) continue;
+      h.probe_credit -= 1;
+      actions_.probe(h.id);
     }
-    if (full_ > 0) load_time_.add(now_, turns * own_load * seconds(kBeat));
-    if (std::exchange(look_, false)) {
-      leave_bad_ways();
-      // A host on its way out is the heaviest there can be: own connections leave it, a part at each beat.
+    if (filled_hosts_ > 0) load_time_.add(now_, turns * own_load * seconds(kTick));
+    if (std::exchange(check_hosts_to_leave_, false)) {
+      leave_bad_paths();
+      // A draining host counts as the most loaded of all: connections leave it, a part of them at each tick.
       for (Host& h : hosts_) {
-        look_ = look_ || h.standing == HostStatus::draining || h.way.bad();
-        if (h.standing == HostStatus::draining && h.own)
-          move_off(h, h.own_load / kBeatsPerProbe, Leaving::drain);
+        check_hosts_to_leave_ = check_hosts_to_leave_ || h.status == HostStatus::draining || h.path.bad();
+        if (h.status == HostStatus::draining && h.own_connections)
+          move_sessions(h, h.own_load / kTicksPerProbe, MoveReason::drain);
       }
     }
-    if (++beats_ % kBeatsPerProbe == 0) {
+    if (++ticks_ % kTicksPerProbe == 0) {
       rebalance();
-      if (mean_load_ >= kFullAt) let_go_heavy();
+      if (mean_load_ >= kFullThreshold) move_heavy_sessions();
     }
   }
 
-  // Connections are as badly served over a bad way as the probes are. They leave for hosts that are well from
-  // here as far as those have room, of which this node takes no more than its part twice over: as many as
-  // half of all nodes may see the same.
-  void leave_bad_ways() {
-    // A suspended one is the paper's to relieve, unless so much is asked of it that it serves nobody.
-    const auto is_left = [](const Host& h) {
-      return h.own && h.usable() && h.way.bad() && (!h.suspended || h.forecast.raw() >= kCrippled);
+  // Connections over a bad path are served as badly as its probes. They are moved as far as hosts with a good
+  // path have room. This node takes no more than twice its part of that room, as up to half of all nodes may
+  // see the same.
+  void leave_bad_paths() {
+    // A suspended host is left to rebalance(), unless it is so overloaded that it serves no session in time.
+    const auto must_leave = [](const Host& h) {
+      return h.own_connections && h.usable() && h.path.bad() &&
+             (!h.suspended || h.forecast.reported_load() >= kCrippledLoad);
     };
-    if (per_load_ <= 0 || std::none_of(hosts_.begin(), hosts_.end(), is_left)) return;
+    if (host_load_per_session_load_ <= 0 || std::none_of(hosts_.begin(), hosts_.end(), must_leave)) return;
     double room = 0;
     for (const Host& h : hosts_) {
-      const double load = h.usable() ? load_of(h) : 1;
-      // Where all ways turn bad, one is the first: the others must not take its connections.
-      if (!ill_now(h) && h.way.clear(now_) && !no_room(h, load))
-        room += (kFullAt - load) * h.share / per_load_;
+      const double load = h.usable() ? estimated_load(h) : 1;
+      // If all paths are turning bad, one is the first to be bad: the others must not take its connections.
+      if (!is_unhealthy(h) && h.path.clear(now_) && !is_full(h, load))
+        room += (kFullThreshold - load) * h.weight / host_load_per_session_load_;
     }
-    room = 2 * room / nodes_ - under_way_.at(now_);
+    room = 2 * room / nodes_ - moving_load_.at(now_);
     for (Host& h : hosts_) {
-      const double load = std::min(h.own_load / kBeatsPerProbe, room);
-      if (!is_left(h) || load <= 0) continue;
-      under_way_.add(now_, load);
+      const double load = std::min(h.own_load / kTicksPerProbe, room);
+      if (!must_leave(h) || load <= 0) continue;
+      moving_load_.add(now_, load);
       room -= load;
-      move_off(h, load, Leaving::drain);
+      move_sessions(h, load, MoveReason::drain);
     }
   }
 
-  // The paper's two schedules: heaviest with lightest on overload, else now and then toward a light one.
+  // The two schedules of docs/design.md: on overload the heaviest host is paired with the lightest, the next
+  // with the next, and so on; else, every kRebalanceInterval, the heaviest with a host that is almost idle.
   void rebalance() {
-    take_means();
-    order_.clear();
+    update_means();
+    hosts_by_load_.clear();
     for (Host& h : hosts_) {
-      if (h.usable() && h.forecast.known() && !h.way.bad()) order_.emplace_back(load_of(h), &h);
+      if (h.usable() && h.forecast.known() && !h.path.bad())
+        hosts_by_load_.emplace_back(estimated_load(h), &h);
     }
-    std::stable_sort(order_.begin(), order_.end(),
+    std::stable_sort(hosts_by_load_.begin(), hosts_by_load_.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
     bool overload = false;
-    for (std::size_t i = 0, j = order_.size(); i + 1 < j && order_[j - 1].second->suspended; ++i) {
+    for (std::size_t i = 0, j = hosts_by_load_.size(); i + 1 < j && hosts_by_load_[j - 1].second->suspended;
+         ++i) {
       overload = true;
-      pair_up(*order_[--j].second, *order_[i].second);
+      transfer_load(*hosts_by_load_[--j].second, *hosts_by_load_[i].second);
     }
-    if (overload || order_.size() < 2) {
+    if (overload || hosts_by_load_.size() < 2) {
       quiet_since_ = now_;
-    } else if (now_ - quiet_since_ >= kQuietRest) {
+    } else if (now_ - quiet_since_ >= kRebalanceInterval) {
       quiet_since_ = now_;
-      const auto& [least, light] = order_.front();
-      const auto& [most, heavy] = order_.back();
-      if (least <= kLightAt && most - least > kLightAt) pair_up(*heavy, *light);
+      const auto& [least, light] = hosts_by_load_.front();
+      const auto& [most, heavy] = hosts_by_load_.back();
+      if (least <= kLightThreshold && most - least > kLightThreshold) transfer_load(*heavy, *light);
     }
   }
 
-  // Moves show in the reports only after a while; until then the host is left alone.
-  void pair_up(Host& heavy, Host& light) {
-    if (heavy.moved_at != kNever && heavy.forecast.at() - heavy.moved_at < 2 * kProbeEvery) return;
-    const double load = load_of(heavy);
-    const bool relief = light.suspended || guard_.cold(now_, light.started);
-    // Where no host is lighter, one past what it can do serves nobody: the least useful load leaves for good.
+  // Reports show the effect of a move with a delay; until then nothing more is moved off the host.
+  void transfer_load(Host& heavy, Host& light) {
+    if (heavy.moved_at != kNever && heavy.forecast.at() - heavy.moved_at < 2 * kProbeInterval) return;
+    const double load = estimated_load(heavy);
+    const bool relief = light.suspended || cold_limiter_.is_cold(now_, light.started);
+    // If the other host cannot take load, only a host loaded beyond its capacity is relieved, as it serves no
+    // session in time: the sessions of least utility leave, and will be refused.
     if (relief && load < 1) return;
-    const double share = relief ? (load - kFullAt) / load : Mover::share(load, load_of(light));
-    if (move_off(heavy, heavy.own_load * share, relief ? Leaving::relief : Leaving::even))
+    const double share =
+        relief ? (load - kFullThreshold) / load : LoadTransfer::share(load, estimated_load(light));
+    if (move_sessions(heavy, heavy.own_load * share, relief ? MoveReason::relief : MoveReason::rebalance))
       heavy.moved_at = now_;
   }
 
-  // First go sessions whose group has another home, the groups least held here before others; then group by
-  // group, those that every node thinks least suited to the host. For relief, the least utility for its load.
-  bool move_off(Host& from, double load, Leaving why) {
-    leaving_.clear();
+  // Moves sessions away from the host until their load adds up to `load`. First those whose group has another
+  // host, starting with the groups that have the fewest connections here; then group by group, starting with
+  // those of the lowest rank for the host, which is the same at every node. For relief, those of the least
+  // utility for their load; of heavy sessions, the heaviest first. True if any session was moved.
+  bool move_sessions(Host& from, double load, MoveReason why) {
+    candidates_.clear();
     sessions_.for_each([&](SlabKey, Session& s) {
-      if (s.state != State::open || s.moved || s.host != from.id) return;
-      if (why == Leaving::relief)
-        return leaving_.push_back({listeners_[s.taken.listener.value].utility / std::max(s.load, 1e-9), &s});
-      if (why == Leaving::heavy) {
-        if (heavy(s)) leaving_.push_back({-s.load / usual_load(s.taken), &s});
+      if (s.state != SessionState::open || s.moved || s.host != from.id) return;
+      if (why == MoveReason::relief)
+        return candidates_.push_back(
+            {listeners_[s.request.listener.value].utility / std::max(s.load, 1e-9), &s});
+      if (why == MoveReason::heavy_session) {
+        if (is_heavy(s)) candidates_.push_back({-s.load / expected_load(s.request), &s});
         return;
       }
       double order = 0;
-      if (s.taken.group) {
+      if (s.request.group) {
         const bool home = std::any_of(hosts_.begin(), hosts_.end(), [&](const Host& h) {
-          return h.id != from.id && h.usable() && !h.suspended && h.holds(s.taken.group);
+          return h.id != from.id && h.usable() && !h.suspended && h.has_group(s.request.group);
         });
-        order = home ? from.groups.of(*s.taken.group) : kAlone + rank(*s.taken.group, from);
+        order = home ? from.groups.count(*s.request.group) : kNoOtherHostOrder + rank(*s.request.group, from);
       }
-      leaving_.push_back({order, &s});
+      candidates_.push_back({order, &s});
     });
-    std::stable_sort(leaving_.begin(), leaving_.end(),
+    std::stable_sort(candidates_.begin(), candidates_.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
     bool any = false;
     double last = 0;
-    for (std::size_t i = 0; i < leaving_.size() && load > 0; ++i) {
-      const auto& [order, s] = leaving_[i];
-      if (why == Leaving::even && order >= kAlone && order != std::exchange(last, order)) {
-        // A part of a group that goes where none of it is makes one more copy: it goes whole or stays.
+    for (std::size_t i = 0; i < candidates_.size() && load > 0; ++i) {
+      const auto& [order, s] = candidates_[i];
+      if (why == MoveReason::rebalance && order >= kNoOtherHostOrder && order != std::exchange(last, order)) {
+        // A part of a group that moved alone would cost one more host to serve the group: it moves as a whole
+        // or stays.
         double whole = 0;
-        for (std::size_t j = i; j < leaving_.size() && leaving_[j].first == order; ++j)
-          whole += leaving_[j].second->load;
+        for (std::size_t j = i; j < candidates_.size() && candidates_[j].first == order; ++j)
+          whole += candidates_[j].second->load;
         if (whole > load) {
-          while (i + 1 < leaving_.size() && leaving_[i + 1].first == order) ++i;
+          while (i + 1 < candidates_.size() && candidates_[i + 1].first == order) ++i;
           continue;
         }
       }
-      // Guards against many nodes that each round their part of a move up to a session.
-      if (why == Leaving::even && std::generate_canonical<double, 32>(chance_) * s->load > load) break;
+      // Rounds at random to whole sessions. If each of many nodes rounded up, they would move far too much.
+      if (why == MoveReason::rebalance && std::generate_canonical<double, 32>(random_) * s->load > load)
+        break;
       s->moved = any = true;
       load -= std::max(s->load, 1e-9);
-      if (s->taken.client && why != Leaving::drain) sent_away_.note(*s->taken.client, s->load, now_);
-      out_.move(s->id);
+      if (s->request.client && why != MoveReason::drain)
+        moved_client_loads_.record(*s->request.client, s->load, now_);
+      actions_.move(s->id);
     }
     return any;
   }
 
-  static constexpr unsigned kMostPatience = 64;
-  static constexpr double kAlone = 1e9, kCrowded = 1.25, kCopy = 2.0 / 3, kMostCopy = 8, kDear = 4,
-                          kHeavy = 2, kOneCore = 1e-6, kIdleProbes = 0.125, kFewOfGroup = 2, kPriorOwn = 8,
-                          kFewestHosts = 3, kCrippled = 2;
+  static constexpr unsigned kMaxTimeLimitFactor = 64;
+  static constexpr double kNoOtherHostOrder = 1e9, kAboveMeanFactor = 1.25, kGroupCostPerNode = 2.0 / 3,
+                          kMaxGroupCost = 8, kExpensiveCrossingFactor = 4, kHeavyFactor = 2,
+                          kMaxHostLoadPerSessionLoad = 1e-6, kIdleProbeRate = 0.125,
+                          kMinConnectionsPerGroup = 2, kPriorConnections = 8, kMinGroupHosts = 3,
+                          kCrippledLoad = 2;
 
-  BalancerActions& out_;
-  std::knuth_b chance_;
+  BalancerActions& actions_;
+  std::knuth_b random_;
   unsigned nodes_;
   ZoneId zone_;
   std::vector<Listener> listeners_;
-  Micros message_target_;  // the shortest
+  Micros message_target_;  // the shortest of all listeners
   DialLimits dial_limits_;
-  RetryBudget budget_;
-  ColdGuard guard_;
-  // Of own sessions that ended of themselves; of all, in load seconds; and the hosts that all load fills.
-  DecayingSum ended_load_, load_time_, full_time_;
-  ListPolicy list_;
+  RetryBudget retry_budget_;
+  ColdStartLimiter cold_limiter_;
+  // Load of this node's sessions that ended and were not moved or lost; the load of all its sessions over
+  // time (load x seconds); and the number of full hosts that the load of all nodes amounts to, over time.
+  DecayingSum ended_load_, load_time_, filled_time_;
+  ListPolicy list_policy_;
   double crossing_price_;
-  ProbePace pace_;
-  Micros probe_every_ = kProbeEvery, own_every_ = kProbeEvery, idle_every_ = kProbeEvery;
-  Rotation rotation_;
-  std::vector<DecayingMean> usual_;
-  ClientLoads sent_away_;
+  ProbePacer probe_pacer_;
+  Micros probe_interval_ = kProbeInterval, used_host_interval_ = kProbeInterval,
+         idle_host_interval_ = kProbeInterval;
+  RoundRobin round_robin_;
+  std::vector<DecayingMean> session_loads_;
+  ClientLoads moved_client_loads_;
   DialThrottle throttle_;
-  DecayingSum under_way_{kProbeEvery};  // load moved off bad ways that is not back yet
-  HostsById<Host> hosts_;
-  std::vector<std::pair<double, Host*>> order_;
-  std::vector<std::pair<double, Session*>> leaving_;
-  std::vector<unsigned> against_;
-  std::vector<SlabKey> held_;
-  std::vector<double> ranks_, sorted_;
+  DecayingSum moving_load_{kProbeInterval};  // load moved off bad paths that has not been placed again yet
+  SortedHosts<Host> hosts_;
+  std::vector<std::pair<double, Host*>> hosts_by_load_;
+  std::vector<std::pair<double, Session*>> candidates_;
+  std::vector<unsigned> skip_reasons_;
+  std::vector<SlabKey> probe_waiters_;
+  std::vector<double> ranks_, sorted_ranks_;
   Slab<Session> sessions_;
-  Micros now_{0}, began_ = kNever, quiet_since_{0}, ask_list_at_ = kNever, full_at_ = kNever,
-                  refusing_since_{0}, list_wait_ = kProbeEvery;
-  bool list_stale_ = false, listing_whole_ = false, mean_known_ = false, suspect_ = false,
-       sees_groups_ = false, told_ = false;
-  double mean_load_ = 0, mean_own_ = 0, per_load_ = 0, mean_session_ = 0, per_share_ = 0, full_ = 0,
-         holders_ = 0, counted_ = 0;
-  bool look_ = false;  // whether a host drains or its way is bad
-  unsigned beats_ = 0, patience_ = 1;
+  Micros now_{0}, first_time_ = kNever, quiet_since_{0}, list_request_at_ = kNever, fleet_full_at_ = kNever,
+                  nothing_placed_since_{0}, list_retry_delay_ = kProbeInterval;
+  bool list_stale_ = false, list_complete_ = false, mean_known_ = false, health_suspect_ = false,
+       groups_visible_ = false, session_load_known_ = false;
+  double mean_load_ = 0, mean_connections_ = 0, host_load_per_session_load_ = 0, mean_session_load_ = 0,
+         fill_rate_per_weight_ = 0, filled_hosts_ = 0, used_hosts_ = 0, used_hosts_counted_ = 0;
+  bool check_hosts_to_leave_ = false;  // whether a host is draining or has a bad path
+  unsigned ticks_ = 0, time_limit_factor_ = 1;
 };
 
 }  // namespace
 
-std::unique_ptr<Balancer> make_balancer(BalancerActions& outlet, std::uint64_t seed, unsigned nodes,
+std::unique_ptr<Balancer> make_balancer(BalancerActions& actions, std::uint64_t seed, unsigned nodes,
                                         ZoneId zone, std::vector<Listener> listeners, DialLimits dials,
                                         ColdStartLimits cold, ListPolicy list, Prices prices) {
-  return std::make_unique<Decisions>(outlet, seed, nodes, zone, std::move(listeners), dials, cold, list,
-                                     prices);
+  return std::make_unique<BalancerImpl>(actions, seed, nodes, zone, std::move(listeners), dials, cold, list,
+                                        prices);
 }
 
 }  // namespace flintweir
--- a/src/host.h
+++ b/src/host.h
@@ -1,4 +1,4 @@
-// What is known of a host as plain facts, and hosts in the order of their ids.
+// The state that the balancer keeps of each host, and a container of hosts sorted by id.
 #pragma once
 
 #include <algorithm>
@@ -10,22 +10,23 @@
 
 namespace flintweir {
 
-class GroupCount {
+// How many open connections of each group a host has.
+class GroupCounts {
  public:
-  unsigned of(GroupId g) const {
+  unsigned count(GroupId g) const {
     for (const auto& [group, count] : counts_) {
       if (group == g) return count;
     }
     return 0;
   }
-  std::size_t kinds() const { return counts_.size(); }
-  void join(GroupId g) {
+  std::size_t size() const { return counts_.size(); }
+  void add(GroupId g) {
     for (auto& [group, count] : counts_) {
       if (group == g) return void(++count);
     }
     counts_.emplace_back(g, 1);
   }
-  void leave(GroupId g) {
+  void remove(GroupId g) {
     for (auto& entry : counts_) {
       if (entry.first != g) continue;
       if (--entry.second == 0) {
@@ -40,71 +41,74 @@
   std::vector<std::pair<GroupId, unsigned>> counts_;
 };
 
-struct HostFacts {
-  explicit HostFacts(HostId h, Micros sent_half) : id(h), sent(sent_half) {}
+struct HostState {
+  explicit HostState(HostId h, Micros recent_half_life) : id(h), recent_load(recent_half_life) {}
 
   HostId id;
   ZoneId zone;
   CellId cell;
-  HostStatus standing = HostStatus::active;
-  double share = 1;  // its size beside the others'
+  HostStatus status = HostStatus::active;
+  double weight = 1;  // its capacity relative to that of the other hosts
   Micros started{0};
   bool listed = false;
-  bool drained = false;      // was listed as draining since it started
-  Micros off_list = kNever;  // since when the list calls it gone or leaves it out
+  bool drained = false;            // has been listed as draining since it started
+  Micros unlisted_since = kNever;  // when the list first named it as removed, or left it out
 
-  unsigned own = 0;     // own open connections
-  double own_load = 0;  // their load, in microseconds of work a second
-  unsigned dialing = 0;
-  GroupCount groups;
-  DecayingSum sent;  // load sent lately, which the reports may not show yet
-  SlidingSum cold_sent;
-  Micros delay{0}, delay_at = kNever;  // of messages, as last noted
+  unsigned own_connections = 0;  // open connections from this node
+  double own_load = 0;           // their load, in microseconds of work per second
+  unsigned dials = 0;            // in progress
+  GroupCounts groups;
+  DecayingSum recent_load;     // load sent lately, which the host's reports may not include yet
+  SlidingSum sent_while_cold;  // load sent lately
+  Micros message_delay{0}, message_delay_at = kNever;  // as last measured on a connection
 
-  // An older list may come again: a start is never taken back, and where only draining binds nothing but a
-  // restart ends it.
-  void tell(ZoneId z, CellId c, HostStatus now_is, double size, Micros since, Micros now,
-            bool only_draining_binds) {
+  // Takes over an entry of the list. A list may be older than the one before: the start time never goes back,
+  // and where only draining binds, a drained host stays drained until it restarts.
+  void update(ZoneId new_zone, CellId new_cell, HostStatus listed_status, double listed_weight,
+              Micros listed_start, Micros now, bool only_draining_binds) {
     listed = true;
-    if (now_is == HostStatus::removed) return list_lacks_it(now, only_draining_binds);
-    drained = now_is == HostStatus::draining || (drained && only_draining_binds && since <= started);
-    standing = drained ? HostStatus::draining : now_is;
-    off_list = kNever;
-    zone = z;
-    cell = c;
-    share = size > 0 ? size : 1;
-    started = std::max(started, since);
+    if (listed_status == HostStatus::removed) return mark_unlisted(now, only_draining_binds);
+    drained =
+        listed_status == HostStatus::draining || (drained && only_draining_binds && listed_start <= started);
+    status = drained ? HostStatus::draining : listed_status;
+    unlisted_since = kNever;
+    zone = new_zone;
+    cell = new_cell;
+    weight = listed_weight > 0 ? listed_weight : 1;
+    started = std::max(started, listed_start);
   }
-  void list_lacks_it(Micros now, bool only_draining_binds) {
-    if (!only_draining_binds || drained) standing = HostStatus::removed;
-    if (off_list == kNever) off_list = now;
+  // The list names the host as removed, or no longer names it.
+  void mark_unlisted(Micros now, bool only_draining_binds) {
+    if (!only_draining_binds || drained) status = HostStatus::removed;
+    if (unlisted_since == kNever) unlisted_since = now;
   }
-  bool missing() const { return usable() && off_list != kNever; }
-  bool usable() const { return standing == HostStatus::active; }
-  bool holds(std::optional<GroupId> g) const { return g && groups.of(*g) > 0; }
-  void opened(double load, std::optional<GroupId> g) {
-    ++own;
+  // May be used although it is not on the list.
+  bool unlisted() const { return usable() && unlisted_since != kNever; }
+  bool usable() const { return status == HostStatus::active; }
+  bool has_group(std::optional<GroupId> g) const { return g && groups.count(*g) > 0; }
+  void connection_opened(double load, std::optional<GroupId> g) {
+    ++own_connections;
     own_load += load;
-    if (g) groups.join(*g);
+    if (g) groups.add(*g);
   }
-  void closed(double load, std::optional<GroupId> g) {
-    --own;
-    own_load = own ? own_load - load : 0;
-    if (g) groups.leave(*g);
+  void connection_closed(double load, std::optional<GroupId> g) {
+    --own_connections;
+    own_load = own_connections ? own_load - load : 0;
+    if (g) groups.remove(*g);
   }
 };
 
 template <class Host>
-class HostsById {
+class SortedHosts {
  public:
   Host* find(HostId id) {
-    const auto it = place(id);
+    const auto it = lower_bound(id);
     return it != hosts_.end() && it->id == id ? &*it : nullptr;
   }
-  Host& add(Host host) { return *hosts_.insert(place(host.id), std::move(host)); }
-  template <class Gone>
-  void drop_if(Gone gone) {
-    std::erase_if(hosts_, gone);
+  Host& add(Host host) { return *hosts_.insert(lower_bound(host.id), std::move(host)); }
+  template <class Predicate>
+  void erase_if(Predicate predicate) {
+    std::erase_if(hosts_, predicate);
   }
   auto begin() { return hosts_.begin(); }
   auto end() { return hosts_.end(); }
@@ -114,7 +118,7 @@
   Host& operator[](std::size_t i) { return hosts_[i]; }
 
  private:
-  auto place(HostId id) {
+  auto lower_bound(HostId id) {
     return std::lower_bound(hosts_.begin(), hosts_.end(), id,
                             [](const Host& a, HostId b) { return a.id < b; });
   }
--- a/src/numbers.h
+++ b/src/numbers.h
@@ -1,4 +1,4 @@
-// Small arithmetic on times, means and rates.
+// Arithmetic on times, and statistics that forget old values.
 #pragma once
 
 #include <algorithm>
@@ -14,9 +14,10 @@
 inline constexpr Micros kNever = Micros::min();
 
 inline double seconds(Micros t) { return static_cast<double>(t.count()) / 1e6; }
+// `whole` counts as a microsecond at least.
 inline double ratio(Micros part, Micros whole) { return seconds(part) / std::max(seconds(whole), 1e-6); }
 
-// What is left of one after `age`, where it fades by half every `half`.
+// The factor by which a value has decayed after `age`.
 inline double decay(Micros age, Micros half_life) { return std::exp2(-ratio(age, half_life)); }
 
 // The finalizer of splitmix64: spreads the bits of a number over all of its bits.
@@ -26,11 +27,12 @@
   return x ^ (x >> 31);
 }
 
-// A mean in which each new value counts 1 - keep.
+// An exponentially weighted moving mean.
 class DecayingMean {
  public:
-  void add(double x, double keep) {
-    mean_ = known_ ? keep * mean_ + (1 - keep) * x : x;
+  // The new value has the weight 1 - old_weight.
+  void add(double x, double old_weight) {
+    mean_ = known_ ? old_weight * mean_ + (1 - old_weight) * x : x;
     known_ = true;
   }
   double value_or(double x) const { return known_ ? mean_ : x; }
@@ -41,15 +43,15 @@
   bool known_ = false;
 };
 
-// The gaps between signs of life: their mean and how they spread about it.
+// Mean and standard deviation of the gaps between events, recent gaps weighing most.
 class GapStatistics {
  public:
   void add(Micros now) {
     if (last_ != kNever && now > last_) {
       const double gap = seconds(now - last_);
-      const double off = gap - mean_.value_or(gap);
-      mean_.add(gap, kKeep);
-      square_.add(off * off, kKeep);
+      const double deviation_from_mean = gap - mean_.value_or(gap);
+      mean_.add(gap, kOldWeight);
+      square_.add(deviation_from_mean * deviation_from_mean, kOldWeight);
     }
     last_ = now;
   }
@@ -59,29 +61,30 @@
   double deviation() const { return std::sqrt(square_.value_or(0)); }
 
  private:
-  static constexpr double kKeep = 0.9;
+  static constexpr double kOldWeight = 0.9;
   Micros last_ = kNever;
   DecayingMean mean_, square_;
 };
 
-// What was added lately, each with its time.
+// The sum of what was added since a given time.
 class SlidingSum {
  public:
+  // Entries before `keep_since` are dropped.
   void add(Micros now, double x, Micros keep_since) {
-    std::erase_if(added_, [&](const auto& a) { return a.first < keep_since; });
-    added_.emplace_back(now, x);
+    std::erase_if(entries_, [&](const auto& a) { return a.first < keep_since; });
+    entries_.emplace_back(now, x);
   }
   double since(Micros from) const {
     double sum = 0;
-    for (const auto& [at, x] : added_) sum += at >= from ? x : 0;
+    for (const auto& [at, x] : entries_) sum += at >= from ? x : 0;
     return sum;
   }
 
  private:
-  std::vector<std::pair<Micros, double>> added_;
+  std::vector<std::pair<Micros, double>> entries_;
 };
 
-// A sum that fades by half every `half`.
+// A sum that decays by half in each half-life.
 class DecayingSum {
  public:
   explicit DecayingSum(Micros half_life) : half_life_(half_life) {}
@@ -91,10 +94,11 @@
     at_ = now;
   }
   double at(Micros now) const { return sum_ == 0 ? 0 : sum_ * decay(now - at_, half_life_); }
-  // What was added a second, where the adding began at `since`; no shorter than `least` is believed.
-  double per_second(Micros now, Micros since, Micros least) const {
+  // The rate of what was added, per second, if counting began at `since`. Never estimated from less than
+  // `min_time`.
+  double per_second(Micros now, Micros since, Micros min_time) const {
     const double weight = seconds(half_life_) / std::log(2.0) * (1 - decay(now - since, half_life_));
-    return at(now) / std::max(weight, seconds(least));
+    return at(now) / std::max(weight, seconds(min_time));
   }
 
  private:
--- a/tests/balance_test.cpp
+++ b/tests/balance_test.cpp
@@ -334,9 +334,9 @@
     std::vector<Micros> taken, spent;
     unsigned refused = 0;
     for (Micros now = 10s; now < 60s; now += 500ms / (1 + chance() % 50)) {
-      if (chance() % 3) budget.took(now), taken.push_back(now);
-      const bool allowed = budget.allows(now);
-      if (allowed) budget.spend(now), spent.push_back(now);
+      if (chance() % 3) budget.session_started(now), taken.push_back(now);
+      const bool allowed = budget.allows_retry(now);
+      if (allowed) budget.record_retry(now), spent.push_back(now);
       refused += allowed ? 0 : 1;
       const auto in = [&](const std::vector<Micros>& all, Micros from) {
         return static_cast<double>(
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -57,7 +57,7 @@
   "  if (!say(line) || all_out())" "  say(line);
   if (!say(line) || all_out())")
 flintweir_flaw(drained-dialled rolling_deploy drain src/balance.cpp
-  "    h->tell(zone, cell, standing," "    h->tell(zone, cell, standing == HostStatus::draining ? h->standing : standing,")
+  "    h->update(zone, cell, status," "    h->update(zone, cell, status == HostStatus::draining ? h->status : status,")
 flintweir_flaw(cold-ignored rolling_deploy cold src/balance.cpp
   "+ cost <= budget ||" "+ cost <= 100 * budget ||")
 flintweir_flaw(byte-lost mix line src/line/relay.cpp
@@ -78,7 +78,7 @@
   } nobody;
   host_->set_events(nobody);")
 flintweir_flaw(runs-twice hosts_hang effect src/balance.cpp
-  "if (!proven) s->ran(" "if (proven) s->ran(")
+  "if (!known_not_run) s->record_possible_run(" "if (known_not_run) s->record_possible_run(")
 flintweir_flaw(gone-and-dialled-on clients_leave gone src/line/proxy_session.cpp
   "  if (client_.still_waits()) return true;" "  return true;"
   "  if (answered_) return;
@@ -142,7 +142,7 @@
 flintweir_flaw(queue-taken-for-a-watch list_outages drain src/node/staleness_clock.cpp
   "  return std::min(started_at_, requested_at_);" "  return now;")
 flintweir_flaw(stale-list-used list_outages drain src/balance.cpp
-  "    list_stale_ = true;" "    list_stale_ = now_ < kQuietRest;")
+  "    list_stale_ = true;" "    list_stale_ = now_ < kRebalanceInterval;")
 flintweir_flaw(answer-lost-at-stop crossings answer src/node/node.cpp
   "  while (accept()) continue;" ""
   "timers_.schedule(longest_dial_ + kKilled - kEndsBefore, *this, left)" "timers_.schedule(Micros{0}, *this, left)")
