--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -35,9 +35,9 @@
   // `backlog` may have any unit, as it only counts relative to its peak, which is taken as `min_peak` at
   // least.
   void report(Micros now, double load, double backlog, double min_peak) {
-    const double kept = at_ == kNever ? 0 : decay(now - at_, kRebalanceInterval);
+    const double kept_share = at_ == kNever ? 0 : decay(now - at_, kRebalanceInterval);
     backlog_growth_ = at_ == kNever || now <= at_ ? 0 : (backlog - backlog_) / seconds(now - at_);
-    peak_backlog_ = std::max({backlog, peak_backlog_ * kept, min_peak});
+    peak_backlog_ = std::max({backlog, peak_backlog_ * kept_share, min_peak});
     load_ = load;
     backlog_ = backlog;
     at_ = now;
@@ -67,8 +67,8 @@
   bool too_long(Micros now, Micros expected_gap) const {
     if (!gaps_.known()) return false;
     const double mean = std::max(gaps_.mean(), seconds(expected_gap));
-    constexpr double kMaxDeviations =
-        5.612;  // standard deviations above the mean, for normally distributed gaps
+    // Standard deviations above the mean, for normally distributed gaps.
+    constexpr double kMaxDeviations = 5.612;
     return seconds(now - gaps_.last()) - mean > kMaxDeviations * std::max(gaps_.deviation(), mean / 4);
   }
 
@@ -190,8 +190,8 @@
   }
 
  private:
-  static constexpr double kDialsPerAccepted = 2,
-                          kIgnoredFailures = 2;  // a few failures say nothing of a shared cause
+  static constexpr double kDialsPerAccepted = 2;
+  static constexpr double kIgnoredFailures = 2;  // a few failures say nothing of a shared cause
   DecayingSum ended_{2 * kProbeInterval}, accepted_{2 * kProbeInterval};
 };
 
@@ -206,9 +206,9 @@
   PathQuality path;
   double probe_credit = 0;  // a probe is sent when it reaches one
   Micros moved_at = kNever, probe_requested_at{0};
-  // For what is left of the budget of a cold host (see ColdStartLimiter::has_room), and when it was drawn.
-  double draw = 0;
+  // The random number by which ColdStartLimiter::has_room() may exceed the budget, and when it was drawn.
   Micros draw_at = kNever;
+  double draw = 0;
   Micros ejected_until = kNever, ejection_time{0};
 
   // Ejects the host for a time that doubles with each failure after the end of the last ejection. An accepted
@@ -276,10 +276,10 @@
   explicit RoundRobin(std::uint64_t start) : next_(start) {}
   // The next host with no reason to skip it. Each further pass over the hosts ignores one reason more.
   Host* choose(SortedHosts<Host>& hosts, const std::vector<unsigned>& skip_reasons) {
-    for (unsigned dropped = 0; dropped < excluded; dropped = 2 * dropped + 1) {
+    for (unsigned ignored = 0; ignored < excluded; ignored = 2 * ignored + 1) {
       for (std::size_t i = 0; i < hosts.size(); ++i) {
         const std::size_t at = (next_ + i) % hosts.size();
-        if (skip_reasons[at] & ~dropped) continue;
+        if (skip_reasons[at] & ~ignored) continue;
         next_ = at + 1;
         return &hosts[at];
       }
@@ -563,8 +563,8 @@
                                   : h.own_connections > 0;
   }
 
-  Micros random_delay(Micros over) {
-    return Micros{std::uniform_int_distribution<std::int64_t>(0, over.count())(random_)};
+  Micros random_delay(Micros max) {
+    return Micros{std::uniform_int_distribution<std::int64_t>(0, max.count())(random_)};
   }
 
   static bool is_current(const Session& s, DialNo dial) {
@@ -573,13 +573,14 @@
 
   // The mean load of sessions at this listener; if none is known, that of the other listeners, else what the
   // client announced.
-  double expected_load(const SessionRequest& t) const {
-    double all = 0, known = 0;
-    for (const DecayingMean& m : session_loads_) {
-      all += m.value_or(0);
-      known += m.known() ? 1 : 0;
+  double expected_load(const SessionRequest& request) const {
+    double sum = 0, known = 0;
+    for (const DecayingMean& mean : session_loads_) {
+      sum += mean.value_or(0);
+      known += mean.known() ? 1 : 0;
     }
-    return session_loads_[t.listener.value].value_or(known > 0 ? all / known : t.expected_load.value_or(1));
+    return session_loads_[request.listener.value].value_or(known > 0 ? sum / known
+                                                                     : request.expected_load.value_or(1));
   }
 
   void record_report(Host& h, const LoadReport& r) {
@@ -610,31 +611,31 @@
     if (!h.forecast.known()) return mean_connections_ > 0 ? h.own_connections / mean_connections_ / 2 : 0;
     // The work that delays messages has to be done in addition to the offered load. No measurement for a
     // while means that little is waiting.
-    const bool noted = h.message_delay_at != kNever && now_ - h.message_delay_at < kReportLifetime;
-    const double waiting = noted ? ratio(h.message_delay, kReportLifetime) : 0;
+    const bool measured = h.message_delay_at != kNever && now_ - h.message_delay_at < kReportLifetime;
+    const double waiting = measured ? ratio(h.message_delay, kReportLifetime) : 0;
     return h.forecast.weighted_load(h.forecast.reported_load() + unreported + waiting, horizon);
   }
 
-  // Means over the usable hosts: for comparison, and as estimates for hosts without a report.
+  // Updates the means over the usable hosts: for comparison, and as estimates for hosts without a report.
   void update_means() {
-    double load = 0, known = 0, own = 0, all = 0, own_load = 0, carried = 0, groups = 0, seen = 0,
-           unasked = 0;
+    double load = 0, known = 0, connections = 0, usable = 0, own_load = 0, total_load = 0, groups = 0,
+           reported_own_load = 0, unreported = 0;
     filled_hosts_ = 0;
     for (const Host& h : hosts_) {
       if (!h.usable()) continue;
       const bool cold = cold_limiter_.is_cold(now_, h.started);
-      all += 1;
-      own += h.own_connections;
+      usable += 1;
+      connections += h.own_connections;
       groups += static_cast<double>(h.groups.size());
       own_load += h.own_load;
       if (!h.forecast.known()) {
-        unasked += cold ? 0 : 1;  // a cold host counts as empty
+        unreported += cold ? 0 : 1;  // a cold host counts as empty
         continue;
       }
       known += 1;
       load += estimated_load(h);
-      carried += h.forecast.reported_load() * h.weight;
-      seen += h.own_load - h.recent_load.at(now_);
+      total_load += h.forecast.reported_load() * h.weight;
+      reported_own_load += h.own_load - h.recent_load.at(now_);
       filled_hosts_ +=
           h.forecast.reported_load() * h.weight * (cold ? cold_limiter_.capacity_share(now_ - h.started) : 1);
     }
@@ -643,7 +644,7 @@
     // since one of many nodes has almost no sessions at most moments. Neither rises in a burst of sessions,
     // while their loads still build up, or when clients of another node come to this one; and the parts of
     // all nodes add up to one.
-    if (known > 0) filled_hosts_ *= (known + unasked) / known;
+    if (known > 0) filled_hosts_ *= (known + unreported) / known;
     const double load_seconds = load_time_.at(now_), filled_seconds = filled_time_.at(now_);
     if (filled_seconds > 0)
       fill_rate_per_weight_ =
@@ -652,20 +653,20 @@
               : 0;
     mean_known_ = known > 0;
     mean_load_ = known > 0 ? load / known : 0;
-    mean_connections_ = all > 0 ? own / all : 0;
-    groups_visible_ = own >= kMinConnectionsPerGroup * groups;
+    mean_connections_ = usable > 0 ? connections / usable : 0;
+    groups_visible_ = connections >= kMinConnectionsPerGroup * groups;
     if (own_load <= 0) return;
-    mean_session_load_ = own_load / own;
+    mean_session_load_ = own_load / connections;
     // The host load caused by a unit of session load is estimated from this node's part of the reported
     // loads. It is limited, as a node with few sessions, for example after a restart, must not take each for
     // a large part of a host. While sessions are refused it is multiplied by the number of nodes: every node
     // has sessions waiting, and all of them fill a host as soon as it has room. The limit itself is used
     // while reports do not show the sessions yet, as after a restart of all nodes; else sessions would seem
     // to cause no load.
-    const double most = kLightThreshold / mean_session_load_;
-    const bool shown = known < 1 || carried > 0 || seen > own_load / 2;
-    const double alone = shown ? std::min(carried / (nodes_ * own_load), most) : most;
-    host_load_per_session_load_ = std::min((fleet_full() ? nodes_ : 1) * alone, 2 * most);
+    const double limit = kLightThreshold / mean_session_load_;
+    const bool sessions_reported = known < 1 || total_load > 0 || reported_own_load > own_load / 2;
+    const double estimate = sessions_reported ? std::min(total_load / (nodes_ * own_load), limit) : limit;
+    host_load_per_session_load_ = std::min((fleet_full() ? nodes_ : 1) * estimate, 2 * limit);
     // A host has the capacity of one core at least. Otherwise a node that holds one or two of all sessions of
     // the fleet would take each for a large part of a host, and the hosts that it sends them to for full.
     if (session_load_known_)
@@ -758,34 +759,35 @@
   void prefer_group_hosts(GroupId group) {
     // If zone crossing is expensive and the fleet has room, a further host in this zone costs less than
     // crossing.
-    const unsigned minor = mean_load_ < kExpensiveCrossingFactor * crossing_price_
-                               ? unsigned{above_mean_load}
-                               : above_mean_load | other_zone;
-    const unsigned far = minor & other_zone;
-    unsigned best = excluded, best_all = excluded;
-    for (const unsigned a : skip_reasons_) {
-      best = std::min(best, a & ~minor);
-      best_all = std::min(best_all, a & ~far);
+    const unsigned ignored = mean_load_ < kExpensiveCrossingFactor * crossing_price_
+                                 ? unsigned{above_mean_load}
+                                 : above_mean_load | other_zone;
+    const unsigned ignored_for_home = ignored & other_zone;
+    unsigned best = excluded, best_for_home = excluded;
+    for (const unsigned reasons : skip_reasons_) {
+      best = std::min(best, reasons & ~ignored);
+      best_for_home = std::min(best_for_home, reasons & ~ignored_for_home);
     }
     if (best >= excluded) return;
     ranks_.clear();
-    bool held = false;
-    double home = 0, count = 0, own = kPriorConnections;
+    bool has_host = false;
+    double home_rank = 0, group_connections = 0, connections = kPriorConnections;
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
       // Hosts with a bad path get no rank: a group whose best hosts are all bad from here would find no host.
-      const bool counts = hosts_[i].usable() && (health_suspect_ || !hosts_[i].path.bad());
-      ranks_.push_back(counts ? rank(group, hosts_[i]) : 0);
-      count += hosts_[i].groups.count(group);
-      own += hosts_[i].own_connections;
-      held = held || (groups_visible_ && (skip_reasons_[i] & ~minor) == best && hosts_[i].has_group(group));
-      if ((skip_reasons_[i] & ~far) == best_all) home = std::max(home, ranks_[i]);
+      const bool ranked = hosts_[i].usable() && (health_suspect_ || !hosts_[i].path.bad());
+      ranks_.push_back(ranked ? rank(group, hosts_[i]) : 0);
+      group_connections += hosts_[i].groups.count(group);
+      connections += hosts_[i].own_connections;
+      has_host = has_host ||
+                 (groups_visible_ && (skip_reasons_[i] & ~ignored) == best && hosts_[i].has_group(group));
+      if ((skip_reasons_[i] & ~ignored_for_home) == best_for_home) home_rank = std::max(home_rank, ranks_[i]);
     }
     const bool room_is_sure = mean_known_ && mean_load_ < kFullThreshold - kLightThreshold;
-    const double least = room_is_sure ? 0 : rank_limit(count / own);
+    const double min_rank = room_is_sure ? 0 : rank_limit(group_connections / connections);
     for (std::size_t i = 0; i < hosts_.size(); ++i) {
       const Host& host = hosts_[i];
-      if (held ? !host.has_group(group) : ranks_[i] != home) skip_reasons_[i] |= not_group_host;
-      if (ranks_[i] <= least && !host.has_group(group) && !cold_limiter_.is_cold(now_, host.started))
+      if (has_host ? !host.has_group(group) : ranks_[i] != home_rank) skip_reasons_[i] |= not_group_host;
+      if (ranks_[i] <= min_rank && !host.has_group(group) && !cold_limiter_.is_cold(now_, host.started))
         skip_reasons_[i] |= excluded;
     }
   }
@@ -801,10 +803,10 @@
     // More hosts are allowed the longer no session at all has been placed.
     const double rounds =
         fleet_full() ? 1 + std::floor(ratio(now_ - nothing_placed_since_, kReportLifetime)) : 1;
-    const double wanted =
+    const double allowed =
         rounds * kMinGroupHosts + std::ceil(session_share * static_cast<double>(sorted_ranks_.size()));
-    if (wanted >= static_cast<double>(sorted_ranks_.size())) return 0;
-    const auto last = sorted_ranks_.begin() + static_cast<std::ptrdiff_t>(wanted);
+    if (allowed >= static_cast<double>(sorted_ranks_.size())) return 0;
+    const auto last = sorted_ranks_.begin() + static_cast<std::ptrdiff_t>(allowed);
     std::nth_element(sorted_ranks_.begin(), last, sorted_ranks_.end(), std::greater<>());
     return *last;
   }
@@ -917,8 +919,10 @@
     if (probe_interval_ > kReportLifetime) {
       // For the same total price, hosts with sessions of this node are probed more often. Otherwise a host
       // stays overloaded when many nodes have a session there and none of them probes it in time.
-      const double asked = used_hosts_ + kIdleProbeRate * (static_cast<double>(hosts_.size()) - used_hosts_);
-      used_host_interval_ = std::max(kReportLifetime, probe_pacer_.interval(now_, first_time_, asked));
+      const double weighted_hosts =
+          used_hosts_ + kIdleProbeRate * (static_cast<double>(hosts_.size()) - used_hosts_);
+      used_host_interval_ =
+          std::max(kReportLifetime, probe_pacer_.interval(now_, first_time_, weighted_hosts));
       idle_host_interval_ =
           Micros{std::llround(static_cast<double>(used_host_interval_.count()) / kIdleProbeRate)};
     }
@@ -926,21 +930,21 @@
     // If probes are infrequent, each tick looks at a part of the hosts only, and all are looked at within
     // kProbeInterval. One of many nodes would otherwise spend its time on a large fleet of which it uses
     // almost nothing.
-    const unsigned turns = probe_interval_ > kReportLifetime ? kTicksPerProbe : 1;
-    if (ticks_ % turns == 0) used_hosts_ = std::exchange(used_hosts_counted_, 0);
+    const unsigned stride = probe_interval_ > kReportLifetime ? kTicksPerProbe : 1;
+    if (ticks_ % stride == 0) used_hosts_ = std::exchange(used_hosts_counted_, 0);
     double own_load = 0;
-    for (std::size_t i = ticks_ % turns; i < hosts_.size(); i += turns) {
+    for (std::size_t i = ticks_ % stride; i < hosts_.size(); i += stride) {
       Host& h = hosts_[i];
       used_hosts_counted_ += is_used(h) ? 1 : 0;
       own_load += h.own_load;
       h.recent_load.set_half_life(probe_interval(h));
       h.path.set_half_life(2 * probe_interval(h));
       if (!probe_pacer_.allowed() || !h.usable() || !worth_probing(h)) continue;
-      if ((h.probe_credit += turns * ratio(kTick, probe_interval(h))) < 1) continue;
+      if ((h.probe_credit += stride * ratio(kTick, probe_interval(h))) < 1) continue;
       h.probe_credit -= 1;
       actions_.probe(h.id);
     }
-    if (filled_hosts_ > 0) load_time_.add(now_, turns * own_load * seconds(kTick));
+    if (filled_hosts_ > 0) load_time_.add(now_, stride * own_load * seconds(kTick));
     if (std::exchange(check_hosts_to_leave_, false)) {
       leave_bad_paths();
       // A draining host counts as the most loaded of all: connections leave it, a part of them at each tick.
@@ -1015,8 +1019,9 @@
     if (heavy.moved_at != kNever && heavy.forecast.at() - heavy.moved_at < 2 * kProbeInterval) return;
     const double load = estimated_load(heavy);
     const bool relief = light.suspended || cold_limiter_.is_cold(now_, light.started);
-    // If the other host cannot take load, only a host loaded beyond its capacity is relieved, as it serves no
-    // session in time: the sessions of least utility leave, and will be refused.
+    // If the other host cannot take load, as it is suspended itself or still cold, only a host loaded beyond
+    // its capacity is relieved, as it serves no session in time: the sessions of least utility leave for
+    // good.
     if (relief && load < 1) return;
     const double share =
         relief ? (load - kFullThreshold) / load : LoadTransfer::share(load, estimated_load(light));
@@ -1024,10 +1029,11 @@
       heavy.moved_at = now_;
   }
 
-  // Moves sessions away from the host until their load adds up to `load`. First those whose group has another
-  // host, starting with the groups that have the fewest connections here; then group by group, starting with
-  // those of the lowest rank for the host, which is the same at every node. For relief, those of the least
-  // utility for their load; of heavy sessions, the heaviest first. True if any session was moved.
+  // Moves sessions away from the host until their load adds up to `load`. First those without a group,
+  // then those whose group has another host, starting with the groups that have the fewest connections here;
+  // then group by group, starting with those that rank this host lowest, which is the same at every node. For
+  // relief, those of the least utility for their load; of heavy sessions, the heaviest first. True if any
+  // session was moved.
   bool move_sessions(Host& from, double load, MoveReason why) {
     candidates_.clear();
     sessions_.for_each([&](SlabKey, Session& s) {
@@ -1041,26 +1047,28 @@
       }
       double order = 0;
       if (s.request.group) {
-        const bool home = std::any_of(hosts_.begin(), hosts_.end(), [&](const Host& h) {
+        const bool has_other_host = std::any_of(hosts_.begin(), hosts_.end(), [&](const Host& h) {
           return h.id != from.id && h.usable() && !h.suspended && h.has_group(s.request.group);
         });
-        order = home ? from.groups.count(*s.request.group) : kNoOtherHostOrder + rank(*s.request.group, from);
+        order = has_other_host ? from.groups.count(*s.request.group)
+                               : kNoOtherHostOrder + rank(*s.request.group, from);
       }
       candidates_.push_back({order, &s});
     });
     std::stable_sort(candidates_.begin(), candidates_.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
-    bool any = false;
-    double last = 0;
+    bool any_moved = false;
+    double last_group_order = 0;
     for (std::size_t i = 0; i < candidates_.size() && load > 0; ++i) {
       const auto& [order, s] = candidates_[i];
-      if (why == MoveReason::rebalance && order >= kNoOtherHostOrder && order != std::exchange(last, order)) {
+      if (why == MoveReason::rebalance && order >= kNoOtherHostOrder &&
+          order != std::exchange(last_group_order, order)) {
         // A part of a group that moved alone would cost one more host to serve the group: it moves as a whole
         // or stays.
-        double whole = 0;
+        double group_load = 0;
         for (std::size_t j = i; j < candidates_.size() && candidates_[j].first == order; ++j)
-          whole += candidates_[j].second->load;
-        if (whole > load) {
+          group_load += candidates_[j].second->load;
+        if (group_load > load) {
           while (i + 1 < candidates_.size() && candidates_[i + 1].first == order) ++i;
           continue;
         }
@@ -1068,21 +1076,29 @@
       // Rounds at random to whole sessions. If each of many nodes rounded up, they would move far too much.
       if (why == MoveReason::rebalance && std::generate_canonical<double, 32>(random_) * s->load > load)
         break;
-      s->moved = any = true;
+      s->moved = any_moved = true;
       load -= std::max(s->load, 1e-9);
       if (s->request.client && why != MoveReason::drain)
         moved_client_loads_.record(*s->request.client, s->load, now_);
       actions_.move(s->id);
     }
-    return any;
+    return any_moved;
   }
 
   static constexpr unsigned kMaxTimeLimitFactor = 64;
-  static constexpr double kNoOtherHostOrder = 1e9, kAboveMeanFactor = 1.25, kGroupCostPerNode = 2.0 / 3,
-                          kMaxGroupCost = 8, kExpensiveCrossingFactor = 4, kHeavyFactor = 2,
-                          kMaxHostLoadPerSessionLoad = 1e-6, kIdleProbeRate = 0.125,
-                          kMinConnectionsPerGroup = 2, kPriorConnections = 8, kMinGroupHosts = 3,
-                          kCrippledLoad = 2;
+  static constexpr double kNoOtherHostOrder = 1e9;  // sorts these groups after all others
+  static constexpr double kAboveMeanFactor = 1.25;
+  static constexpr double kGroupCostPerNode = 2.0 / 3, kMaxGroupCost = 8;  // in sessions of mean load
+  static constexpr double kExpensiveCrossingFactor = 4;  // mean load over the price of crossing
+  static constexpr double kHeavyFactor = 2;              // of the expected load
+  // A host has one core at least, which does 1e6 microseconds of work per second.
+  static constexpr double kMaxHostLoadPerSessionLoad = 1e-6;
+  static constexpr double kIdleProbeRate = 0.125;       // of the rate for hosts with sessions of this node
+  static constexpr double kMinConnectionsPerGroup = 2;  // fewer on average say nothing of where groups are
+  // Added to the count of connections, so that a group does not seem large to a node with few connections.
+  static constexpr double kPriorConnections = 8;
+  static constexpr double kMinGroupHosts = 3;
+  static constexpr double kCrippledLoad = 2;  // at this reported load a host serves no session in time
 
   BalancerActions& actions_;
   std::knuth_b random_;
--- a/src/ids.h
+++ b/src/ids.h
@@ -1,4 +1,4 @@
-// The kinds of number that name things, each a type of its own, and time.
+// Identifiers, each of a type of its own so that they cannot be mixed up, and the unit of time.
 #pragma once
 
 #include <chrono>
@@ -16,7 +16,7 @@
 };
 
 using HostId = Id<struct HostTag, std::uint64_t>;
-using SessId = Id<struct SessTag, std::uint64_t>;  // the caller's own number for a session
+using SessId = Id<struct SessTag, std::uint64_t>;  // chosen by the caller of the balancer
 using ListenerId = Id<struct ListenerTag, std::uint32_t>;
 using TenantId = Id<struct TenantTag, std::uint32_t>;
 using ZoneId = Id<struct ZoneTag, std::uint32_t>;
--- a/src/slab.h
+++ b/src/slab.h
@@ -1,4 +1,5 @@
-// Values at reused places that never move. A key outlives its value safely: a place reused has another turn.
+// A container whose values never move and whose cells are reused. A key may outlive its value: it is not
+// mistaken for the key of a later value in the same cell, as that has another generation.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +11,9 @@
 
 struct SlabKey {
   std::uint32_t index = 0;
-  std::uint32_t generation = 0;  // 0 is never given out
+  std::uint32_t generation = 0;  // 0 in no valid key
 
-  // As one number, never 0 for a key that was given out.
+  // The key as one number, which is not 0 for a valid key.
   std::uint64_t packed() const { return std::uint64_t{generation} << 32 | index; }
   static SlabKey unpacked(std::uint64_t n) {
     return {static_cast<std::uint32_t>(n), static_cast<std::uint32_t>(n >> 32)};
@@ -28,7 +29,7 @@
     return key;
   }
 
-  // A place whose value is as its last user left it, or made from `args` where the place is new.
+  // Takes a cell. Its value is as the last user of the cell left it, or made from `args` if the cell is new.
   template <class... Args>
   SlabKey acquire(Args&&... args) {
     if (free_.empty()) {
@@ -55,7 +56,7 @@
     free_.push_back(key.index);
   }
 
-  // Calls visit(key, value) in order of place.
+  // Calls visit(key, value) for each value, in order of index.
   template <class Visit>
   void for_each(Visit visit) {
     for (std::uint32_t index = 0; index < cells_.size(); ++index) {
