--- a/benchlink/wire.cpp
+++ b/benchlink/wire.cpp
@@ -154,7 +154,7 @@
 };
 
 // One instance: its balancer, the handles of its sessions, and the addresses its lists have named.
-class Node final : public BalancerActions {
+class Node final : public BalancerDelegate {
  public:
   Node(Reply& reply, std::uint64_t who, std::uint64_t seed, element env) : reply_(reply), who_(who) {
     const setup::JsonObject settings(env, "CONFIGURE: env");
--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -309,10 +309,10 @@
 
 class BalancerImpl final : public Balancer {
  public:
-  BalancerImpl(BalancerActions& actions, std::uint64_t seed, unsigned nodes, ZoneId zone,
+  BalancerImpl(BalancerDelegate& delegate, std::uint64_t seed, unsigned nodes, ZoneId zone,
                std::vector<Listener> listeners, DialLimits dials, ColdStartLimits cold, ListPolicy list,
                Prices prices)
-      : actions_(actions),
+      : delegate_(delegate),
         random_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> 32))),
         nodes_(std::max(1u, nodes)),
         zone_(zone),
@@ -337,7 +337,7 @@
     // The nodes share one list service. If many of them asked at the same time, most requests would fail.
     if (list_policy_.on_request)
       list_request_at_ = now_ + random_delay(std::min(list_policy_.poll_interval / 2, kTick * (nodes_ - 1)));
-    actions_.set_timer(random_delay(kTick), TimerId{0});
+    delegate_.set_timer(random_delay(kTick), TimerId{0});
   }
 
   void set_node_count(unsigned nodes) override { nodes_ = std::max(1u, nodes); }
@@ -519,7 +519,7 @@
       if (h.own_connections || h.dials || h.unlisted_since == kNever) return false;
       // If the list may be wrong, a host that it does not name may be named again, also one that has drained.
       const bool over = h.unlisted() ? !worth_probing(h) : now_ - h.unlisted_since >= forget_delay();
-      if (over) actions_.forget_host(h.id);
+      if (over) delegate_.forget_host(h.id);
       return over;
     });
   }
@@ -527,7 +527,7 @@
   // Many nodes may get no list at the same time. Each waits for a random time that grows with each failure,
   // but stays well below the poll interval.
   void list_failed() override {
-    actions_.log("host list request failed; retrying after a random delay");
+    delegate_.log("host list request failed; retrying after a random delay");
     list_request_at_ = now_ + list_retry_delay_ / 2 + random_delay(list_retry_delay_);
     list_retry_delay_ =
         std::min(2 * list_retry_delay_, std::max(kProbeInterval, list_policy_.poll_interval / 4));
@@ -536,7 +536,7 @@
   // Hosts may be draining that this node has not heard of. Sessions wait as they do when no host is
   // available.
   void list_stale() override {
-    actions_.log("host list is stale; dialling no host until a new list arrives");
+    delegate_.log("host list is stale; dialling no host until a new list arrives");
     list_stale_ = true;
   }
   void list_usable() override { list_stale_ = false; }
@@ -674,7 +674,7 @@
   }
 
   void eject(Host& h) {
-    if (h.record_failure(now_)) actions_.log("host keeps failing; ejected for 8 probe intervals", h.id);
+    if (h.record_failure(now_)) delegate_.log("host keeps failing; ejected for 8 probe intervals", h.id);
   }
 
   void update_suspended(Host& h) {
@@ -697,7 +697,7 @@
     // unhealthy host is not used even if all others are full.
     const bool before = std::exchange(health_suspect_, unhealthy_surplus > 0);
     if (health_suspect_ && !before)
-      actions_.log("most hosts look unhealthy; ignoring health when choosing a host");
+      delegate_.log("most hosts look unhealthy; ignoring health when choosing a host");
     skip_reasons_.clear();
     for (Host& h : hosts_) skip_reasons_.push_back(skip_reasons(h, s, rules, group_has_host));
     if (s.request.group) prefer_group_hosts(*s.request.group);
@@ -838,7 +838,7 @@
       });
       if (all_full && mean_load_ >= kFullThreshold - kLightThreshold) {
         if (!fleet_full()) {
-          actions_.log("no host has room; refusing sessions");
+          delegate_.log("no host has room; refusing sessions");
           nothing_placed_since_ = now_;
         }
         fleet_full_at_ = now_;
@@ -852,7 +852,7 @@
     if (needs_probe(*h, s)) {
       round_robin_.undo_choice();
       s.host = h->id;
-      if (!std::exchange(h->probe_before_dial, true)) actions_.probe(h->id);
+      if (!std::exchange(h->probe_before_dial, true)) delegate_.probe(h->id);
       h->probe_requested_at = now_;
       return wait(key, s);
     }
@@ -866,7 +866,7 @@
     ++h->dials;
     s.charged_load = s.load + group_cost(*h, s);
     h->recent_load.add(now_, s.charged_load);
-    actions_.dial(s.id, h->id, limit);
+    delegate_.dial(s.id, h->id, limit);
   }
 
   static bool is_used(const Host& h) { return h.own_connections || h.dials; }
@@ -876,7 +876,7 @@
 
   void wait(SlabKey key, Session& s) {
     if (!std::exchange(s.timer_set, true))
-      actions_.set_timer(std::min(kTick, s.wait_until - now_), TimerId{key.packed()});
+      delegate_.set_timer(std::min(kTick, s.wait_until - now_), TimerId{key.packed()});
   }
 
   // If probes are infrequent, a host is probed before it is dialled unless its report is current. Otherwise
@@ -902,17 +902,17 @@
 
   void give_up(SlabKey key, Session& s, const DialRules& rules, RefusalReason why) {
     if (rules.may_refuse(s))
-      actions_.refuse(s.id, std::min(dial_limits_.max_retry_after, random_delay(kProbeInterval)), why);
+      delegate_.refuse(s.id, std::min(dial_limits_.max_retry_after, random_delay(kProbeInterval)), why);
     else
-      actions_.tear_down(s.id, why);
+      delegate_.tear_down(s.id, why);
     sessions_.release(key);
   }
 
   void tick() {
-    actions_.set_timer(kTick, TimerId{0});
+    delegate_.set_timer(kTick, TimerId{0});
     if (list_request_at_ != kNever && now_ >= list_request_at_) {
       list_request_at_ = kNever;
-      actions_.watch_list();
+      delegate_.watch_list();
     }
     probe_interval_ = used_host_interval_ = idle_host_interval_ =
         probe_pacer_.interval(now_, first_time_, static_cast<double>(hosts_.size()));
@@ -942,7 +942,7 @@
       if (!probe_pacer_.allowed() || !h.usable() || !worth_probing(h)) continue;
       if ((h.probe_credit += stride * ratio(kTick, probe_interval(h))) < 1) continue;
       h.probe_credit -= 1;
-      actions_.probe(h.id);
+      delegate_.probe(h.id);
     }
     if (filled_hosts_ > 0) load_time_.add(now_, stride * own_load * seconds(kTick));
     if (std::exchange(check_hosts_to_leave_, false)) {
@@ -1080,7 +1080,7 @@
       load -= std::max(s->load, 1e-9);
       if (s->request.client && why != MoveReason::drain)
         moved_client_loads_.record(*s->request.client, s->load, now_);
-      actions_.move(s->id);
+      delegate_.move(s->id);
     }
     return any_moved;
   }
@@ -1100,7 +1100,7 @@
   static constexpr double kMinGroupHosts = 3;
   static constexpr double kCrippledLoad = 2;  // at this reported load a host serves no session in time
 
-  BalancerActions& actions_;
+  BalancerDelegate& delegate_;
   std::knuth_b random_;
   unsigned nodes_;
   ZoneId zone_;
@@ -1141,10 +1141,10 @@
 
 }  // namespace
 
-std::unique_ptr<Balancer> make_balancer(BalancerActions& actions, std::uint64_t seed, unsigned nodes,
+std::unique_ptr<Balancer> make_balancer(BalancerDelegate& delegate, std::uint64_t seed, unsigned nodes,
                                         ZoneId zone, std::vector<Listener> listeners, DialLimits dials,
                                         ColdStartLimits cold, ListPolicy list, Prices prices) {
-  return std::make_unique<BalancerImpl>(actions, seed, nodes, zone, std::move(listeners), dials, cold, list,
+  return std::make_unique<BalancerImpl>(delegate, seed, nodes, zone, std::move(listeners), dials, cold, list,
                                         prices);
 }
 
--- a/src/balance.h
+++ b/src/balance.h
@@ -1,6 +1,6 @@
-// The interface of the decision module: the events that its caller reports, and the actions by which it
+// The interface of the decision module: the events that its caller reports, and the calls of a delegate by which it
 // answers them. It does no I/O and reads no clock. The caller first sets the time with Balancer::set_time(),
-// then reports what happened; any call may invoke actions before it returns. A started session is represented
+// then reports what happened; any call may invoke the delegate before it returns. A started session is represented
 // by a SessionHandle, and later events of that session are calls on the handle.
 #pragma once
 
@@ -121,9 +121,9 @@
 };
 
 // What the balancer asks of its surroundings.
-class BalancerActions {
+class BalancerDelegate {
  public:
-  virtual ~BalancerActions() = default;
+  virtual ~BalancerDelegate() = default;
   // Dials `host` for the session. The dial times out after `limit`; zero: when the client gives up.
   virtual void dial(SessId sess, HostId host, Micros limit) = 0;
   // Refuses the session, and asks the client to stay away for `retry_after`.
@@ -214,8 +214,8 @@
   virtual void set_message_delay(SlabKey sess, Micros delay) = 0;
 };
 
-// Makes the balancer of one node. `actions` must outlive it.
-std::unique_ptr<Balancer> make_balancer(BalancerActions& actions, std::uint64_t seed, unsigned nodes,
+// Makes the balancer of one node. `delegate` must outlive it.
+std::unique_ptr<Balancer> make_balancer(BalancerDelegate& delegate, std::uint64_t seed, unsigned nodes,
                                         ZoneId zone, std::vector<Listener> listeners, DialLimits dials,
                                         ColdStartLimits cold, ListPolicy list, Prices prices);
 
--- a/src/lab/models/baselines.cpp
+++ b/src/lab/models/baselines.cpp
@@ -37,7 +37,7 @@
 
 class Plain final : public Balancer {
  public:
-  Plain(Way way, BalancerActions& out, std::uint64_t seed, std::vector<Listener> listeners,
+  Plain(Way way, BalancerDelegate& out, std::uint64_t seed, std::vector<Listener> listeners,
         unsigned most_dials, Micros ask_every)
       : way_(way),
         out_(out),
@@ -190,7 +190,7 @@
   }
 
   Way way_;
-  BalancerActions& out_;
+  BalancerDelegate& out_;
   std::knuth_b chance_;
   std::vector<Listener> listeners_;
   unsigned most_dials_;
@@ -206,7 +206,7 @@
 node::BalancerFactory balancer_named(const std::string& name) {
   if (name == "module") return setup::create_balancer;
   const Way way = name == "random" ? Way::random : name == "round-robin" ? Way::in_turn : Way::fewest;
-  return [way](const setup::JsonObject& settings, BalancerActions& out,
+  return [way](const setup::JsonObject& settings, BalancerDelegate& out,
                std::uint64_t seed) -> std::unique_ptr<Balancer> {
     const setup::JsonObject ceilings(settings, "ceilings"), rules(settings, "rules");
     return std::make_unique<Plain>(way, out, seed, setup::read_listeners(settings),
--- a/src/lab/reports/scale_module.cpp
+++ b/src/lab/reports/scale_module.cpp
@@ -34,7 +34,7 @@
   return static_cast<double>(info.uordblks + info.hblkhd) / 1024;
 }
 
-struct Alone final : BalancerActions {
+struct Alone final : BalancerDelegate {
   void dial(SessId, HostId host, Micros) override { dialled = host; }
   void refuse(SessId, Micros, RefusalReason) override {}
   void tear_down(SessId, RefusalReason) override {}
--- a/src/line/sessions.h
+++ b/src/line/sessions.h
@@ -17,7 +17,7 @@
   Micros longest_stay_away;  // zero where clients cannot be told when to come back
 };
 
-class Sessions final : public BalancerActions, Probes::Told {
+class Sessions final : public BalancerDelegate, Probes::Told {
  public:
   class Events {
    public:
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -15,8 +15,8 @@
 using namespace net;
 using namespace line;
 
-using BalancerFactory = std::function<std::unique_ptr<Balancer>(const setup::JsonObject& settings,
-                                                                BalancerActions& outlet, std::uint64_t seed)>;
+using BalancerFactory = std::function<std::unique_ptr<Balancer>(
+    const setup::JsonObject& settings, BalancerDelegate& outlet, std::uint64_t seed)>;
 
 class Node final : Sessions::Events, Discovery::Events, TimerEvents, AcceptEvents {
  public:
--- a/src/setup/deployment.cpp
+++ b/src/setup/deployment.cpp
@@ -78,7 +78,7 @@
                  ceilings.flag("probes") ? std::optional(prices.real("probe", 0)) : std::nullopt}};
 }
 
-std::unique_ptr<Balancer> create_balancer(const JsonObject& settings, BalancerActions& outlet,
+std::unique_ptr<Balancer> create_balancer(const JsonObject& settings, BalancerDelegate& outlet,
                                           std::uint64_t seed) {
   const JsonObject rules(settings, "rules");
   check_goal(settings);
--- a/src/setup/deployment.h
+++ b/src/setup/deployment.h
@@ -12,7 +12,7 @@
 namespace flintweir::setup {
 
 // The balancer that the settings ask for. Throws InvalidInput.
-std::unique_ptr<Balancer> create_balancer(const JsonObject& settings, BalancerActions& outlet,
+std::unique_ptr<Balancer> create_balancer(const JsonObject& settings, BalancerDelegate& outlet,
                                           std::uint64_t seed);
 
 // Its listeners, in their order. Throws InvalidInput.
--- a/tests/balancer_harness.h
+++ b/tests/balancer_harness.h
@@ -57,7 +57,7 @@
           kind(Effect::once_only, DedupScope::all)};
 }
 
-class BalancerHarness : public BalancerActions {
+class BalancerHarness : public BalancerDelegate {
  public:
   static constexpr unsigned kNodes = 2, kMaxDials = 4;
   static constexpr ColdStartLimits kCold{10s, 0.3, 3, 2s};
--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -31,7 +31,7 @@
 constexpr double kLoad = 50'000;  // of one open session, in microseconds of work per second
 
 // One node: a balancer, and the surroundings that it acts on.
-class Node final : public BalancerActions {
+class Node final : public BalancerDelegate {
  public:
   Node(std::uint64_t seed, unsigned node_count, Micros now) : now_(now) {
     balancer = make_balancer(*this, seed, node_count, ZoneId{0},
