--- a/src/balance.h
+++ b/src/balance.h
@@ -1,7 +1,8 @@
-// The interface of the decision module: the events that its caller reports, and the calls of a delegate by which it
-// answers them. It does no I/O and reads no clock. The caller first sets the time with Balancer::set_time(),
-// then reports what happened; any call may invoke the delegate before it returns. A started session is represented
-// by a SessionHandle, and later events of that session are calls on the handle.
+// The interface of the decision module: the events that its caller reports, and the calls of a delegate by
+// which it answers them. It does no I/O and reads no clock. The caller first sets the time with
+// Balancer::set_time(), then reports what happened; any call may invoke the delegate before it returns. A
+// started session is represented by a SessionHandle, and later events of that session are calls on the
+// handle.
 #pragma once
 
 #include <cstdint>
