--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -196,7 +196,7 @@
 };
 
 struct Host : HostState {
-  explicit Host(HostId h) : HostState(h, kProbeInterval) {}
+  explicit Host(HostId id) : HostState(id, kProbeInterval) {}
   bool suspended = false;
   bool looks_unhealthy = false;    // when a host was last chosen
   bool probe_before_dial = false;  // sessions wait for a probe of it to end
@@ -228,27 +228,27 @@
 class DialRules {
  public:
   DialRules(const Listener& listener, unsigned max_dials) : listener_(listener), max_dials_(max_dials) {}
-  bool may_dial_again(const Session& s, Micros now) const {
-    if (s.dials >= max_dials_ || now >= s.request.deadline) return false;
-    if (!s.may_have_run || listener_.effect == Effect::repeatable) return true;
-    return listener_.effect == Effect::referenced && now < s.first_run_at + listener_.dedup_window;
+  bool may_dial_again(const Session& session, Micros now) const {
+    if (session.dials >= max_dials_ || now >= session.request.deadline) return false;
+    if (!session.may_have_run || listener_.effect == Effect::repeatable) return true;
+    return listener_.effect == Effect::referenced && now < session.first_run_at + listener_.dedup_window;
   }
-  bool may_dial_host(const Session& s, const Host& h) const {
-    if (!s.may_have_run || listener_.effect != Effect::referenced) return true;
+  bool may_dial_host(const Session& session, const Host& host) const {
+    if (!session.may_have_run || listener_.effect != Effect::referenced) return true;
     return listener_.dedup_scope == DedupScope::all ||
-           (listener_.dedup_scope == DedupScope::zone && h.zone == s.first_run_zone) ||
-           (listener_.dedup_scope == DedupScope::cell && h.cell == s.first_run_cell);
+           (listener_.dedup_scope == DedupScope::zone && host.zone == session.first_run_zone) ||
+           (listener_.dedup_scope == DedupScope::cell && host.cell == session.first_run_cell);
   }
-  bool may_refuse(const Session& s) const {
-    if (!s.may_have_run || listener_.effect == Effect::repeatable) return true;
+  bool may_refuse(const Session& session) const {
+    if (!session.may_have_run || listener_.effect == Effect::repeatable) return true;
     return listener_.effect == Effect::referenced && listener_.dedup_scope == DedupScope::all;
   }
   // The time limit of the next dial. It leaves time for another dial before the handshake target; the last
   // dial of a session gets all the time that is left. `factor` extends it when dials time out at one host
   // after another: the cause is then shared by all hosts, and more dials would make it worse.
-  Micros time_limit(const Session& s, Micros now, unsigned factor, bool retry_allowed) const {
-    const Micros left = s.request.deadline - now;
-    return s.dials + 1 >= max_dials_ || !retry_allowed
+  Micros time_limit(const Session& session, Micros now, unsigned factor, bool retry_allowed) const {
+    const Micros left = session.request.deadline - now;
+    return session.dials + 1 >= max_dials_ || !retry_allowed
                ? left
                : std::min(left, listener_.handshake_target / 2 * factor);
   }
@@ -363,9 +363,9 @@
   }
 
   SessionHandle adopt_session(SessId id, const SessionRequest& request, HostId host) override {
-    Session s(id, request, expected_load(request));
-    s.dial_started(host, now_);
-    const SlabKey key = sessions_.add(s);
+    Session session(id, request, expected_load(request));
+    session.dial_started(host, now_);
+    const SlabKey key = sessions_.add(session);
     open_session(*sessions_.find(key));
     return {this, key};
   }
@@ -373,47 +373,47 @@
   bool live(SlabKey key) const override { return sessions_.has(key); }
 
   void dial_accepted(SlabKey key, DialNo dial) override {
-    Session* s = sessions_.find(key);
-    if (!s || !is_current(*s, dial)) return;
-    if (Host* h = hosts_.find(s->host)) {
-      --h->dials;
-      h->silence.heard(now_);
-      h->path.record(now_, true);
+    Session* session = sessions_.find(key);
+    if (!session || !is_current(*session, dial)) return;
+    if (Host* host = hosts_.find(session->host)) {
+      --host->dials;
+      host->silence.heard(now_);
+      host->path.record(now_, true);
     }
     time_limit_factor_ = std::max(1u, time_limit_factor_ / 2);
     throttle_.ended(now_, true);
-    if (s->state == SessionState::dialing) open_session(*s);
+    if (session->state == SessionState::dialing) open_session(*session);
   }
 
   void dial_ended(SlabKey key, DialNo dial, DialOutcome outcome, bool over) override {
-    Session* s = sessions_.find(key);
-    if (!s || !is_current(*s, dial)) return;
-    s->dial_in_progress = false;
-    Host* h = hosts_.find(s->host);
-    if (s->state == SessionState::open) {
-      if (h) h->connection_closed(s->load, s->request.group);
-      if (!s->moved && outcome != DialOutcome::connection_lost) ended_load_.add(now_, s->load);
+    Session* session = sessions_.find(key);
+    if (!session || !is_current(*session, dial)) return;
+    session->dial_in_progress = false;
+    Host* host = hosts_.find(session->host);
+    if (session->state == SessionState::open) {
+      if (host) host->connection_closed(session->load, session->request.group);
+      if (!session->moved && outcome != DialOutcome::connection_lost) ended_load_.add(now_, session->load);
       // A lost connection is a failure of its host, unless the host is draining or removed. A host that sheds
       // load may report a low load just after: it gets no session until a report shows it below suspension.
-      if (h && h->usable() && outcome == DialOutcome::connection_lost) {
-        eject(*h);
-        h->shedding_load =
-            probe_pacer_.allowed();  // without probes no report can come, and the ejection has to do
+      if (host && host->usable() && outcome == DialOutcome::connection_lost) {
+        eject(*host);
+        // Without probes no report can come, and the ejection has to do.
+        host->shedding_load = probe_pacer_.allowed();
       }
       sessions_.release(key);
       return;
     }
-    if (h) {
-      --h->dials;
-      h->recent_load.add(now_, -s->charged_load);
+    if (host) {
+      --host->dials;
+      host->recent_load.add(now_, -session->charged_load);
       if (outcome == DialOutcome::completed)
-        h->silence.heard(now_);
+        host->silence.heard(now_);
       else if (outcome != DialOutcome::cancelled && outcome != DialOutcome::not_sent &&
                !(outcome == DialOutcome::timed_out && time_limit_factor_ > 1)) {
-        eject(*h);  // not if dials to other hosts time out as well: then the cause is not this host
+        eject(*host);  // not if dials to other hosts time out as well: then the cause is not this host
         if (outcome == DialOutcome::timed_out || outcome == DialOutcome::connect_failed)
-          h->path.record(now_, false);
-        check_hosts_to_leave_ = check_hosts_to_leave_ || h->path.bad();
+          host->path.record(now_, false);
+        check_hosts_to_leave_ = check_hosts_to_leave_ || host->path.bad();
       }
     }
     if (outcome == DialOutcome::timed_out || outcome == DialOutcome::error_reply)
@@ -422,104 +422,106 @@
       time_limit_factor_ = std::min(2 * time_limit_factor_, kMaxTimeLimitFactor);
     const bool known_not_run = outcome == DialOutcome::rejected || outcome == DialOutcome::connect_failed ||
                                outcome == DialOutcome::not_sent;
-    if (!known_not_run) s->record_possible_run(h ? h->zone : ZoneId{}, h ? h->cell : CellId{});
-    if (over || s->state == SessionState::over) return sessions_.release(key);
-    place_session(key, *s);
+    if (!known_not_run)
+      session->record_possible_run(host ? host->zone : ZoneId{}, host ? host->cell : CellId{});
+    if (over || session->state == SessionState::over) return sessions_.release(key);
+    place_session(key, *session);
   }
 
   void client_left(SlabKey key) override {
-    Session* s = sessions_.find(key);
-    if (!s || s->state == SessionState::open) return;
-    s->state = SessionState::over;
-    if (!s->dial_in_progress) sessions_.release(key);
+    Session* session = sessions_.find(key);
+    if (!session || session->state == SessionState::open) return;
+    session->state = SessionState::over;
+    if (!session->dial_in_progress) sessions_.release(key);
   }
 
   void set_load(SlabKey key, double load) override {
-    Session* s = sessions_.find(key);
-    if (!s || s->state != SessionState::open) return;
-    if (Host* h = hosts_.find(s->host)) h->own_load += load - s->load;
-    s->load = load;
-    session_loads_[s->request.listener.value].add(load, 0.98);
+    Session* session = sessions_.find(key);
+    if (!session || session->state != SessionState::open) return;
+    if (Host* host = hosts_.find(session->host)) host->own_load += load - session->load;
+    session->load = load;
+    session_loads_[session->request.listener.value].add(load, kOldLoadWeight);
     session_load_known_ = true;
   }
 
   // A backlog delays the messages of a host long after its reported load has fallen.
   void set_message_delay(SlabKey key, Micros delay) override {
-    Session* s = sessions_.find(key);
-    Host* h = s && s->state == SessionState::open ? hosts_.find(s->host) : nullptr;
-    if (!h) return;
-    h->message_delay = delay;
-    h->message_delay_at = now_;
-    update_suspended(*h);
+    Session* session = sessions_.find(key);
+    Host* host = session && session->state == SessionState::open ? hosts_.find(session->host) : nullptr;
+    if (!host) return;
+    host->message_delay = delay;
+    host->message_delay_at = now_;
+    update_suspended(*host);
   }
 
   void timer_expired(TimerId timer) override {
     if (timer.value == 0) return tick();
     const SlabKey key = SlabKey::unpacked(timer.value);
-    Session* s = sessions_.find(key);
-    if (!s) return;
-    s->timer_set = false;
-    if (s->state == SessionState::waiting) place_session(key, *s);
+    Session* session = sessions_.find(key);
+    if (!session) return;
+    session->timer_set = false;
+    if (session->state == SessionState::waiting) place_session(key, *session);
   }
 
-  void probe_ended(HostId id, DialOutcome outcome, Micros took, const LoadReport& r) override {
-    Host* h = hosts_.find(id);
-    if (!h) return;
+  void probe_ended(HostId id, DialOutcome outcome, Micros took, const LoadReport& report) override {
+    Host* host = hosts_.find(id);
+    if (!host) return;
     const bool answered = outcome == DialOutcome::completed;
-    if (outcome != DialOutcome::error_reply &&
-        outcome != DialOutcome::rejected)  // an answer of any kind shows that the path works
-      h->path.record(now_, answered && (message_target_ == Micros{0} || took <= message_target_) &&
-                               r.load.value_or(0) < kCrippledLoad);
-    check_hosts_to_leave_ = check_hosts_to_leave_ || h->path.bad();
-    if (answered) record_report(*h, r);  // after a failed probe the host stays suspended or not, as it was
-    if (!std::exchange(h->probe_before_dial, false)) return;
+    // An error or a rejection is no failure of the path: an answer has come.
+    if (outcome != DialOutcome::error_reply && outcome != DialOutcome::rejected)
+      host->path.record(now_, answered && (message_target_ == Micros{0} || took <= message_target_) &&
+                                  report.load.value_or(0) < kCrippledLoad);
+    check_hosts_to_leave_ = check_hosts_to_leave_ || host->path.bad();
+    if (answered)
+      record_report(*host, report);  // after a failed probe the host stays suspended or not, as it was
+    if (!std::exchange(host->probe_before_dial, false)) return;
     probe_waiters_.clear();
-    sessions_.for_each([&](SlabKey key, const Session& s) {
-      if (s.state == SessionState::waiting && s.host == id) probe_waiters_.push_back(key);
+    sessions_.for_each([&](SlabKey key, const Session& session) {
+      if (session.state == SessionState::waiting && session.host == id) probe_waiters_.push_back(key);
     });
     for (const SlabKey key : probe_waiters_)
-      if (Session* s = sessions_.find(key)) place_session(key, *s);
+      if (Session* session = sessions_.find(key)) place_session(key, *session);
   }
 
   void begin_list(bool complete) override {
     list_complete_ = complete;
     if (!complete) return;
-    for (Host& h : hosts_) h.listed = false;
+    for (Host& host : hosts_) host.listed = false;
   }
 
   void list_host(HostId id, ZoneId zone, CellId cell, HostStatus status, double weight,
                  Micros started) override {
-    Host* h = hosts_.find(id);
-    if (!h) {
+    Host* host = hosts_.find(id);
+    if (!host) {
       if (status == HostStatus::removed) return;
-      h = &hosts_.add(Host(id));
-      h->probe_credit = std::generate_canonical<double, 32>(random_);
-    } else if (started > h->started) {
+      host = &hosts_.add(Host(id));
+      host->probe_credit = std::generate_canonical<double, 32>(random_);
+    } else if (started > host->started) {
       // After a restart nothing known of the host holds any more.
-      h->forecast = {};
-      h->silence = {};
-      h->path = {};
-      h->suspended = h->shedding_load = false;
-      h->ejected_until = h->message_delay_at = kNever;
+      host->forecast = {};
+      host->silence = {};
+      host->path = {};
+      host->suspended = host->shedding_load = false;
+      host->ejected_until = host->message_delay_at = kNever;
     }
     check_hosts_to_leave_ = check_hosts_to_leave_ || status == HostStatus::draining;
     // Weights that fall as hosts fill are not used as capacities: an empty host would seem many times larger
     // than others like it, and so would its budget while it is cold.
-    h->update(zone, cell, status, list_policy_.weights_are_capacities ? weight : 1, started, now_,
-              list_policy_.only_draining_binds);
+    host->update(zone, cell, status, list_policy_.weights_are_capacities ? weight : 1, started, now_,
+                 list_policy_.only_draining_binds);
   }
 
   void end_list() override {
     list_retry_delay_ = kProbeInterval;
     list_stale_ = false;
     if (std::exchange(list_complete_, false))
-      for (Host& h : hosts_)
-        if (!h.listed) h.mark_unlisted(now_, list_policy_.only_draining_binds);
-    hosts_.erase_if([&](const Host& h) {
-      if (h.own_connections || h.dials || h.unlisted_since == kNever) return false;
+      for (Host& host : hosts_)
+        if (!host.listed) host.mark_unlisted(now_, list_policy_.only_draining_binds);
+    hosts_.erase_if([&](const Host& host) {
+      if (host.own_connections || host.dials || host.unlisted_since == kNever) return false;
       // If the list may be wrong, a host that it does not name may be named again, also one that has drained.
-      const bool over = h.unlisted() ? !worth_probing(h) : now_ - h.unlisted_since >= forget_delay();
-      if (over) delegate_.forget_host(h.id);
+      const bool over = host.unlisted() ? !worth_probing(host) : now_ - host.unlisted_since >= forget_delay();
+      if (over) delegate_.forget_host(host.id);
       return over;
     });
   }
@@ -541,34 +543,35 @@
   }
   void list_usable() override { list_stale_ = false; }
   bool may_dial(HostId id) override {
-    const Host* h = hosts_.find(id);
-    return h && h->usable() && !list_stale_;
+    const Host* host = hosts_.find(id);
+    return host && host->usable() && !list_stale_;
   }
 
  private:
   static constexpr Micros kTick = kProbeInterval / kTicksPerProbe;
+  static constexpr double kOldLoadWeight = 0.98;  // in the mean load of sessions, against a new value
 
   Micros forget_delay() const {
     return list_policy_.only_draining_binds ? 10 * kRebalanceInterval : Micros{0};
   }
   // A host that is not on the list is used only while it is seen alive; after a time without an answer it is
   // no longer probed.
-  bool worth_probing(const Host& h) const {
-    return !h.unlisted() || h.silence.heard_since(now_ - 2 * kRebalanceInterval) ||
-           now_ - h.unlisted_since < 2 * kRebalanceInterval;
+  bool worth_probing(const Host& host) const {
+    return !host.unlisted() || host.silence.heard_since(now_ - 2 * kRebalanceInterval) ||
+           now_ - host.unlisted_since < 2 * kRebalanceInterval;
   }
-  bool seen_alive(const Host& h) const {
-    if (!h.unlisted()) return true;
-    return probe_pacer_.allowed() ? h.silence.heard_since(now_ - probe_interval(h) - kReportLifetime)
-                                  : h.own_connections > 0;
+  bool seen_alive(const Host& host) const {
+    if (!host.unlisted()) return true;
+    return probe_pacer_.allowed() ? host.silence.heard_since(now_ - probe_interval(host) - kReportLifetime)
+                                  : host.own_connections > 0;
   }
 
   Micros random_delay(Micros max) {
     return Micros{std::uniform_int_distribution<std::int64_t>(0, max.count())(random_)};
   }
 
-  static bool is_current(const Session& s, DialNo dial) {
-    return s.dial_in_progress && dial.value + 1 == s.dials;
+  static bool is_current(const Session& session, DialNo dial) {
+    return session.dial_in_progress && dial.value + 1 == session.dials;
   }
 
   // The mean load of sessions at this listener; if none is known, that of the other listeners, else what the
@@ -583,37 +586,39 @@
                                                                      : request.expected_load.value_or(1));
   }
 
-  void record_report(Host& h, const LoadReport& r) {
-    h.silence.heard(now_);
-    const std::optional<double> load = r.load ? r.load : r.cpu_usage;
+  void record_report(Host& host, const LoadReport& report) {
+    host.silence.heard(now_);
+    const std::optional<double> load = report.load ? report.load : report.cpu_usage;
     if (!load) return;
     // If the host reports no backlog, its load is extrapolated instead, relative to its capacity.
-    const std::optional<double> backlog = r.backlog ? r.backlog : r.queued_sessions;
-    h.forecast.report(now_, *load, backlog.value_or(*load), backlog ? 0 : 1);
-    update_suspended(h);
+    const std::optional<double> backlog = report.backlog ? report.backlog : report.queued_sessions;
+    host.forecast.report(now_, *load, backlog.value_or(*load), backlog ? 0 : 1);
+    update_suspended(host);
   }
 
-  void open_session(Session& s) {
-    s.state = SessionState::open;
-    s.may_have_run = true;
-    if (Host* h = hosts_.find(s.host)) h->connection_opened(s.load, s.request.group);
+  void open_session(Session& session) {
+    session.state = SessionState::open;
+    session.may_have_run = true;
+    if (Host* host = hosts_.find(session.host)) host->connection_opened(session.load, session.request.group);
   }
 
   // The reported load, plus what this node has sent to the host since, because reports arrive late.
-  double estimated_load(const Host& h) const {
-    return forecast_load(h, Micros{0}, host_load_per_session_load_ / h.weight * h.recent_load.at(now_));
+  double estimated_load(const Host& host) const {
+    return forecast_load(host, Micros{0},
+                         host_load_per_session_load_ / host.weight * host.recent_load.at(now_));
   }
-  double forecast_load(const Host& h, Micros horizon, double unreported = 0) const {
+  double forecast_load(const Host& host, Micros horizon, double unreported = 0) const {
     // A host without a report counts as having room: reports of a few full hosts must not exclude those that
     // have not been probed yet.
-    if (!h.forecast.known() && mean_known_)
+    if (!host.forecast.known() && mean_known_)
       return std::min(mean_load_, kFullThreshold - kLightThreshold) + unreported;
-    if (!h.forecast.known()) return mean_connections_ > 0 ? h.own_connections / mean_connections_ / 2 : 0;
+    if (!host.forecast.known())
+      return mean_connections_ > 0 ? host.own_connections / mean_connections_ / 2 : 0;
     // The work that delays messages has to be done in addition to the offered load. No measurement for a
     // while means that little is waiting.
-    const bool measured = h.message_delay_at != kNever && now_ - h.message_delay_at < kReportLifetime;
-    const double waiting = measured ? ratio(h.message_delay, kReportLifetime) : 0;
-    return h.forecast.weighted_load(h.forecast.reported_load() + unreported + waiting, horizon);
+    const bool measured = host.message_delay_at != kNever && now_ - host.message_delay_at < kReportLifetime;
+    const double waiting = measured ? ratio(host.message_delay, kReportLifetime) : 0;
+    return host.forecast.weighted_load(host.forecast.reported_load() + unreported + waiting, horizon);
   }
 
   // Updates the means over the usable hosts: for comparison, and as estimates for hosts without a report.
@@ -621,23 +626,23 @@
     double load = 0, known = 0, connections = 0, usable = 0, own_load = 0, total_load = 0, groups = 0,
            reported_own_load = 0, unreported = 0;
     filled_hosts_ = 0;
-    for (const Host& h : hosts_) {
-      if (!h.usable()) continue;
-      const bool cold = cold_limiter_.is_cold(now_, h.started);
+    for (const Host& host : hosts_) {
+      if (!host.usable()) continue;
+      const bool cold = cold_limiter_.is_cold(now_, host.started);
       usable += 1;
-      connections += h.own_connections;
-      groups += static_cast<double>(h.groups.size());
-      own_load += h.own_load;
-      if (!h.forecast.known()) {
+      connections += host.own_connections;
+      groups += static_cast<double>(host.groups.size());
+      own_load += host.own_load;
+      if (!host.forecast.known()) {
         unreported += cold ? 0 : 1;  // a cold host counts as empty
         continue;
       }
       known += 1;
-      load += estimated_load(h);
-      total_load += h.forecast.reported_load() * h.weight;
-      reported_own_load += h.own_load - h.recent_load.at(now_);
-      filled_hosts_ +=
-          h.forecast.reported_load() * h.weight * (cold ? cold_limiter_.capacity_share(now_ - h.started) : 1);
+      load += estimated_load(host);
+      total_load += host.forecast.reported_load() * host.weight;
+      reported_own_load += host.own_load - host.recent_load.at(now_);
+      filled_hosts_ += host.forecast.reported_load() * host.weight *
+                       (cold ? cold_limiter_.capacity_share(now_ - host.started) : 1);
     }
     // This node's part of the load that a full host of weight 1 takes per second: the share of a host that
     // fills per second, times this node's part of the load that fills hosts. Both are means over a long time,
@@ -673,25 +678,26 @@
       host_load_per_session_load_ = std::min(host_load_per_session_load_, kMaxHostLoadPerSessionLoad);
   }
 
-  void eject(Host& h) {
-    if (h.record_failure(now_)) delegate_.log("host keeps failing; ejected for 8 probe intervals", h.id);
+  void eject(Host& host) {
+    if (host.record_failure(now_))
+      delegate_.log("host keeps failing; ejected for 8 probe intervals", host.id);
   }
 
-  void update_suspended(Host& h) {
-    h.suspended = forecast_load(h, kProbeInterval) >= kSuspendThreshold;
-    h.shedding_load = h.shedding_load && h.suspended;
+  void update_suspended(Host& host) {
+    host.suspended = forecast_load(host, kProbeInterval) >= kSuspendThreshold;
+    host.shedding_load = host.shedding_load && host.suspended;
   }
 
-  Host* choose(const Session& s, const DialRules& rules) {
+  Host* choose(const Session& session, const DialRules& rules) {
     if (list_stale_) return nullptr;
     update_means();
     int unhealthy_surplus = 0;
     bool group_has_host = false;
-    for (Host& h : hosts_) {
-      if (!h.usable()) continue;
-      h.looks_unhealthy = is_unhealthy(h);
-      unhealthy_surplus += h.looks_unhealthy ? 1 : -1;
-      group_has_host = group_has_host || (!h.looks_unhealthy && h.has_group(s.request.group));
+    for (Host& host : hosts_) {
+      if (!host.usable()) continue;
+      host.looks_unhealthy = is_unhealthy(host);
+      unhealthy_surplus += host.looks_unhealthy ? 1 : -1;
+      group_has_host = group_has_host || (!host.looks_unhealthy && host.has_group(session.request.group));
     }
     // If most hosts look unhealthy, the judgement itself is doubtful, and they may be used. Otherwise an
     // unhealthy host is not used even if all others are full.
@@ -699,55 +705,56 @@
     if (health_suspect_ && !before)
       delegate_.log("most hosts look unhealthy; ignoring health when choosing a host");
     skip_reasons_.clear();
-    for (Host& h : hosts_) skip_reasons_.push_back(skip_reasons(h, s, rules, group_has_host));
-    if (s.request.group) prefer_group_hosts(*s.request.group);
+    for (Host& host : hosts_) skip_reasons_.push_back(skip_reasons(host, session, rules, group_has_host));
+    if (session.request.group) prefer_group_hosts(*session.request.group);
     return round_robin_.choose(hosts_, skip_reasons_);
   }
 
-  bool is_unhealthy(const Host& h) const {
-    return now_ < h.ejected_until || h.path.bad() || h.silence.too_long(now_, probe_interval(h)) ||
-           !seen_alive(h);
+  bool is_unhealthy(const Host& host) const {
+    return now_ < host.ejected_until || host.path.bad() ||
+           host.silence.too_long(now_, probe_interval(host)) || !seen_alive(host);
   }
   // A session costs a cold host the mean load at least, because setting it up is work as well. Otherwise many
   // light sessions could be sent to it at once.
-  double cold_cost(const Session& s) const { return std::max(s.load, mean_session_load_); }
+  double cold_cost(const Session& session) const { return std::max(session.load, mean_session_load_); }
 
-  static bool is_full(const Host& h, double load) {
-    return h.shedding_load || h.suspended || load >= kFullThreshold;
+  static bool is_full(const Host& host, double load) {
+    return host.shedding_load || host.suspended || load >= kFullThreshold;
   }
 
-  unsigned skip_reasons(Host& h, const Session& s, const DialRules& rules, bool group_has_host) {
-    if (!h.usable() || !rules.may_dial_host(s, h)) return excluded;
+  unsigned skip_reasons(Host& host, const Session& session, const DialRules& rules, bool group_has_host) {
+    if (!host.usable() || !rules.may_dial_host(session, host)) return excluded;
     unsigned skip = 0;
-    if (cold_limiter_.is_cold(now_, h.started)) {
+    if (cold_limiter_.is_cold(now_, host.started)) {
       // A node that has just started does not know what it sent before its restart.
       if (now_ - first_time_ < cold_limiter_.window()) return excluded;
-      if (h.draw_at == kNever || now_ - h.draw_at >= cold_limiter_.window()) {
-        h.draw_at = now_;
-        h.draw = std::generate_canonical<double, 32>(random_);
+      if (host.draw_at == kNever || now_ - host.draw_at >= cold_limiter_.window()) {
+        host.draw_at = now_;
+        host.draw = std::generate_canonical<double, 32>(random_);
       }
-      if (!cold_limiter_.has_room(now_, h.started, fill_rate_per_weight_ * h.weight, cold_cost(s),
-                                  h.sent_while_cold, h.draw))
+      if (!cold_limiter_.has_room(now_, host.started, fill_rate_per_weight_ * host.weight, cold_cost(session),
+                                  host.sent_while_cold, host.draw))
         return excluded;
-      const double warm = cold_limiter_.capacity_share(now_ - h.started);
+      const double warm = cold_limiter_.capacity_share(now_ - host.started);
       if (std::generate_canonical<double, 32>(random_) > warm) skip |= still_cold;
     }
     // The cost of a further host for the group counts only if the group has one: it must start somewhere.
     const double load =
-        estimated_load(h) + (group_has_host ? group_cost(h, s) * host_load_per_session_load_ / h.weight : 0);
+        estimated_load(host) +
+        (group_has_host ? group_cost(host, session) * host_load_per_session_load_ / host.weight : 0);
     // Loads vary. Near its capacity a host serves few sessions in time, and beyond it none: it is better to
     // refuse a session.
-    if (is_full(h, load)) return excluded;
+    if (is_full(host, load)) return excluded;
     if (load > kAboveMeanFactor * mean_load_) skip |= above_mean_load;
-    if (h.zone != zone_ && crossing_price_ > 0) skip |= other_zone;
-    if (s.has_tried(h.id)) skip |= already_tried;
-    if (h.looks_unhealthy) skip |= health_suspect_ ? unhealthy : excluded;
-    return skip >= (s.dials > 0 ? already_tried : excluded) ? unsigned{excluded} : skip;
+    if (host.zone != zone_ && crossing_price_ > 0) skip |= other_zone;
+    if (session.has_tried(host.id)) skip |= already_tried;
+    if (host.looks_unhealthy) skip |= health_suspect_ ? unhealthy : excluded;
+    return skip >= (session.dials > 0 ? already_tried : excluded) ? unsigned{excluded} : skip;
   }
 
   // The load of serving a group on one more host. It is not reported, and taken to be that of a few sessions.
-  double group_cost(const Host& h, const Session& s) const {
-    return s.request.group && !h.has_group(s.request.group)
+  double group_cost(const Host& host, const Session& session) const {
+    return session.request.group && !host.has_group(session.request.group)
                ? std::min(kGroupCostPerNode * nodes_, kMaxGroupCost) * mean_session_load_
                : 0;
   }
@@ -813,26 +820,27 @@
 
   // How well a host suits a group: a weighted rendezvous hash, and so the same at every node. A host ranks
   // first for a share of the groups that is proportional to its weight.
-  static double rank(GroupId group, const Host& h) {
+  static double rank(GroupId group, const Host& host) {
     const double uniform =
-        std::ldexp(static_cast<double>(mix(group.value ^ mix(h.id.value)) >> 11) + 0.5, -53);
-    return -h.weight / std::log(uniform);
+        std::ldexp(static_cast<double>(mix(group.value ^ mix(host.id.value)) >> 11) + 0.5, -53);
+    return -host.weight / std::log(uniform);
   }
 
-  void place_session(SlabKey key, Session& s) {
-    const DialRules rules(listeners_[s.request.listener.value], dial_limits_.max_dials);
-    s.state = SessionState::waiting;
+  void place_session(SlabKey key, Session& session) {
+    const DialRules rules(listeners_[session.request.listener.value], dial_limits_.max_dials);
+    session.state = SessionState::waiting;
     // If no retry is allowed, the session ends now: waiting for one would only delay the answer.
-    if (!rules.may_dial_again(s, now_)) return give_up(key, s, rules, RefusalReason::no_dials_left);
-    if (s.dials > 0 && !retry_budget_.allows_retry(now_))
-      return give_up(key, s, rules, RefusalReason::no_budget_left);
-    if (fleet_full() && is_heavy(s)) return give_up(key, s, rules, RefusalReason::fleet_full);
+    if (!rules.may_dial_again(session, now_))
+      return give_up(key, session, rules, RefusalReason::no_dials_left);
+    if (session.dials > 0 && !retry_budget_.allows_retry(now_))
+      return give_up(key, session, rules, RefusalReason::no_budget_left);
+    if (fleet_full() && is_heavy(session)) return give_up(key, session, rules, RefusalReason::fleet_full);
     const double rejection_probability = throttle_.rejection_probability(now_);
-    if (rejection_probability > 0 && rules.may_refuse(s) &&
+    if (rejection_probability > 0 && rules.may_refuse(session) &&
         std::generate_canonical<double, 32>(random_) < rejection_probability)
-      return give_up(key, s, rules, RefusalReason::throttled);
-    Host* h = choose(s, rules);
-    if (!h) {
+      return give_up(key, session, rules, RefusalReason::throttled);
+    Host* host = choose(session, rules);
+    if (!host) {
       const bool all_full = !list_stale_ && std::any_of(hosts_.begin(), hosts_.end(), [&](const Host& x) {
         return x.usable() && is_full(x, estimated_load(x));
       });
@@ -843,68 +851,73 @@
         }
         fleet_full_at_ = now_;
       }
-      if (now_ >= s.wait_until || all_full || s.dials > 0) {
+      if (now_ >= session.wait_until || all_full || session.dials > 0) {
         const RefusalReason no_choice = all_full ? RefusalReason::fleet_full : RefusalReason::no_host;
-        return give_up(key, s, rules, list_stale_ ? RefusalReason::list_stale : no_choice);
+        return give_up(key, session, rules, list_stale_ ? RefusalReason::list_stale : no_choice);
       }
-      return wait(key, s);
+      return wait(key, session);
     }
-    if (needs_probe(*h, s)) {
+    if (needs_probe(*host, session)) {
       round_robin_.undo_choice();
-      s.host = h->id;
-      if (!std::exchange(h->probe_before_dial, true)) delegate_.probe(h->id);
-      h->probe_requested_at = now_;
-      return wait(key, s);
+      session.host = host->id;
+      if (!std::exchange(host->probe_before_dial, true)) delegate_.probe(host->id);
+      host->probe_requested_at = now_;
+      return wait(key, session);
     }
-    if (cold_limiter_.is_cold(now_, h->started))
-      h->sent_while_cold.add(now_, cold_cost(s), now_ - cold_limiter_.window());
+    if (cold_limiter_.is_cold(now_, host->started))
+      host->sent_while_cold.add(now_, cold_cost(session), now_ - cold_limiter_.window());
     nothing_placed_since_ = now_;
-    if (s.dials > 0) retry_budget_.record_retry(now_);
+    if (session.dials > 0) retry_budget_.record_retry(now_);
     // If no retry is left after it, this dial gets all the time that is left.
-    const Micros limit = rules.time_limit(s, now_, time_limit_factor_, retry_budget_.allows_retry(now_));
-    s.dial_started(h->id, now_);
-    ++h->dials;
-    s.charged_load = s.load + group_cost(*h, s);
-    h->recent_load.add(now_, s.charged_load);
-    delegate_.dial(s.id, h->id, limit);
+    const Micros limit =
+        rules.time_limit(session, now_, time_limit_factor_, retry_budget_.allows_retry(now_));
+    session.dial_started(host->id, now_);
+    ++host->dials;
+    session.charged_load = session.load + group_cost(*host, session);
+    host->recent_load.add(now_, session.charged_load);
+    delegate_.dial(session.id, host->id, limit);
   }
 
-  static bool is_used(const Host& h) { return h.own_connections || h.dials; }
-  Micros probe_interval(const Host& h) const {
-    return is_used(h) ? used_host_interval_ : idle_host_interval_;
+  static bool is_used(const Host& host) { return host.own_connections || host.dials; }
+  Micros probe_interval(const Host& host) const {
+    return is_used(host) ? used_host_interval_ : idle_host_interval_;
   }
 
-  void wait(SlabKey key, Session& s) {
-    if (!std::exchange(s.timer_set, true))
-      delegate_.set_timer(std::min(kTick, s.wait_until - now_), TimerId{key.packed()});
+  void wait(SlabKey key, Session& session) {
+    if (!std::exchange(session.timer_set, true))
+      delegate_.set_timer(std::min(kTick, session.wait_until - now_), TimerId{key.packed()});
   }
 
   // If probes are infrequent, a host is probed before it is dialled unless its report is current. Otherwise
   // sessions would be sent to full hosts that the node knows nothing about. A session waits for this only
   // during the first quarter of its handshake target.
-  bool needs_probe(const Host& h, const Session& s) const {
+  bool needs_probe(const Host& host, const Session& session) const {
     if (probe_interval_ <= kReportLifetime) return false;
-    if (s.wait_until - now_ < listeners_[s.request.listener.value].handshake_target * 3 / 4) return false;
-    return h.probe_before_dial || now_ - std::max(h.forecast.at(), h.probe_requested_at) > kReportLifetime;
+    if (session.wait_until - now_ < listeners_[session.request.listener.value].handshake_target * 3 / 4)
+      return false;
+    return host.probe_before_dial ||
+           now_ - std::max(host.forecast.at(), host.probe_requested_at) > kReportLifetime;
   }
 
   // Whether no host had room recently.
   bool fleet_full() const { return fleet_full_at_ != kNever && now_ - fleet_full_at_ < 2 * kProbeInterval; }
-  bool is_heavy(const Session& s) const { return s.load > kHeavyFactor * expected_load(s.request); }
+  bool is_heavy(const Session& session) const {
+    return session.load > kHeavyFactor * expected_load(session.request);
+  }
 
   // While sessions are refused, a session that is much heavier than usual takes the room of several.
   void move_heavy_sessions() {
     if (!fleet_full()) return;
-    for (Host& h : hosts_)
-      if (h.usable() && estimated_load(h) >= kFullThreshold - kLightThreshold)
-        move_sessions(h, h.own_load * kLightThreshold, MoveReason::heavy_session);
+    for (Host& host : hosts_)
+      if (host.usable() && estimated_load(host) >= kFullThreshold - kLightThreshold)
+        move_sessions(host, host.own_load * kLightThreshold, MoveReason::heavy_session);
   }
 
-  void give_up(SlabKey key, Session& s, const DialRules& rules, RefusalReason why) {
-    if (rules.may_refuse(s))
-      delegate_.refuse(s.id, std::min(dial_limits_.max_retry_after, random_delay(kProbeInterval)), why);
+  void give_up(SlabKey key, Session& session, const DialRules& rules, RefusalReason why) {
+    if (rules.may_refuse(session))
+      delegate_.refuse(session.id, std::min(dial_limits_.max_retry_after, random_delay(kProbeInterval)), why);
     else
-      delegate_.tear_down(s.id, why);
+      delegate_.tear_down(session.id, why);
     sessions_.release(key);
   }
 
@@ -934,24 +947,25 @@
     if (ticks_ % stride == 0) used_hosts_ = std::exchange(used_hosts_counted_, 0);
     double own_load = 0;
     for (std::size_t i = ticks_ % stride; i < hosts_.size(); i += stride) {
-      Host& h = hosts_[i];
-      used_hosts_counted_ += is_used(h) ? 1 : 0;
-      own_load += h.own_load;
-      h.recent_load.set_half_life(probe_interval(h));
-      h.path.set_half_life(2 * probe_interval(h));
-      if (!probe_pacer_.allowed() || !h.usable() || !worth_probing(h)) continue;
-      if ((h.probe_credit += stride * ratio(kTick, probe_interval(h))) < 1) continue;
-      h.probe_credit -= 1;
-      delegate_.probe(h.id);
+      Host& host = hosts_[i];
+      used_hosts_counted_ += is_used(host) ? 1 : 0;
+      own_load += host.own_load;
+      host.recent_load.set_half_life(probe_interval(host));
+      host.path.set_half_life(2 * probe_interval(host));
+      if (!probe_pacer_.allowed() || !host.usable() || !worth_probing(host)) continue;
+      if ((host.probe_credit += stride * ratio(kTick, probe_interval(host))) < 1) continue;
+      host.probe_credit -= 1;
+      delegate_.probe(host.id);
     }
     if (filled_hosts_ > 0) load_time_.add(now_, stride * own_load * seconds(kTick));
     if (std::exchange(check_hosts_to_leave_, false)) {
       leave_bad_paths();
       // A draining host counts as the most loaded of all: connections leave it, a part of them at each tick.
-      for (Host& h : hosts_) {
-        check_hosts_to_leave_ = check_hosts_to_leave_ || h.status == HostStatus::draining || h.path.bad();
-        if (h.status == HostStatus::draining && h.own_connections)
-          move_sessions(h, h.own_load / kTicksPerProbe, MoveReason::drain);
+      for (Host& host : hosts_) {
+        check_hosts_to_leave_ =
+            check_hosts_to_leave_ || host.status == HostStatus::draining || host.path.bad();
+        if (host.status == HostStatus::draining && host.own_connections)
+          move_sessions(host, host.own_load / kTicksPerProbe, MoveReason::drain);
       }
     }
     if (++ticks_ % kTicksPerProbe == 0) {
@@ -965,25 +979,25 @@
   // see the same.
   void leave_bad_paths() {
     // A suspended host is left to rebalance(), unless it is so overloaded that it serves no session in time.
-    const auto must_leave = [](const Host& h) {
-      return h.own_connections && h.usable() && h.path.bad() &&
-             (!h.suspended || h.forecast.reported_load() >= kCrippledLoad);
+    const auto must_leave = [](const Host& host) {
+      return host.own_connections && host.usable() && host.path.bad() &&
+             (!host.suspended || host.forecast.reported_load() >= kCrippledLoad);
     };
     if (host_load_per_session_load_ <= 0 || std::none_of(hosts_.begin(), hosts_.end(), must_leave)) return;
     double room = 0;
-    for (const Host& h : hosts_) {
-      const double load = h.usable() ? estimated_load(h) : 1;
+    for (const Host& host : hosts_) {
+      const double load = host.usable() ? estimated_load(host) : 1;
       // If all paths are turning bad, one is the first to be bad: the others must not take its connections.
-      if (!is_unhealthy(h) && h.path.clear(now_) && !is_full(h, load))
-        room += (kFullThreshold - load) * h.weight / host_load_per_session_load_;
+      if (!is_unhealthy(host) && host.path.clear(now_) && !is_full(host, load))
+        room += (kFullThreshold - load) * host.weight / host_load_per_session_load_;
     }
     room = 2 * room / nodes_ - moving_load_.at(now_);
-    for (Host& h : hosts_) {
-      const double load = std::min(h.own_load / kTicksPerProbe, room);
-      if (!must_leave(h) || load <= 0) continue;
+    for (Host& host : hosts_) {
+      const double load = std::min(host.own_load / kTicksPerProbe, room);
+      if (!must_leave(host) || load <= 0) continue;
       moving_load_.add(now_, load);
       room -= load;
-      move_sessions(h, load, MoveReason::drain);
+      move_sessions(host, load, MoveReason::drain);
     }
   }
 
@@ -992,9 +1006,9 @@
   void rebalance() {
     update_means();
     hosts_by_load_.clear();
-    for (Host& h : hosts_) {
-      if (h.usable() && h.forecast.known() && !h.path.bad())
-        hosts_by_load_.emplace_back(estimated_load(h), &h);
+    for (Host& host : hosts_) {
+      if (host.usable() && host.forecast.known() && !host.path.bad())
+        hosts_by_load_.emplace_back(estimated_load(host), &host);
     }
     std::stable_sort(hosts_by_load_.begin(), hosts_by_load_.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
@@ -1036,31 +1050,33 @@
   // session was moved.
   bool move_sessions(Host& from, double load, MoveReason why) {
     candidates_.clear();
-    sessions_.for_each([&](SlabKey, Session& s) {
-      if (s.state != SessionState::open || s.moved || s.host != from.id) return;
+    sessions_.for_each([&](SlabKey, Session& session) {
+      if (session.state != SessionState::open || session.moved || session.host != from.id) return;
       if (why == MoveReason::relief)
         return candidates_.push_back(
-            {listeners_[s.request.listener.value].utility / std::max(s.load, 1e-9), &s});
+            {listeners_[session.request.listener.value].utility / std::max(session.load, 1e-9), &session});
       if (why == MoveReason::heavy_session) {
-        if (is_heavy(s)) candidates_.push_back({-s.load / expected_load(s.request), &s});
+        if (is_heavy(session))
+          candidates_.push_back({-session.load / expected_load(session.request), &session});
         return;
       }
       double order = 0;
-      if (s.request.group) {
-        const bool has_other_host = std::any_of(hosts_.begin(), hosts_.end(), [&](const Host& h) {
-          return h.id != from.id && h.usable() && !h.suspended && h.has_group(s.request.group);
+      if (session.request.group) {
+        const bool has_other_host = std::any_of(hosts_.begin(), hosts_.end(), [&](const Host& host) {
+          return host.id != from.id && host.usable() && !host.suspended &&
+                 host.has_group(session.request.group);
         });
-        order = has_other_host ? from.groups.count(*s.request.group)
-                               : kNoOtherHostOrder + rank(*s.request.group, from);
+        order = has_other_host ? from.groups.count(*session.request.group)
+                               : kNoOtherHostOrder + rank(*session.request.group, from);
       }
-      candidates_.push_back({order, &s});
+      candidates_.push_back({order, &session});
     });
     std::stable_sort(candidates_.begin(), candidates_.end(),
                      [](const auto& a, const auto& b) { return a.first < b.first; });
     bool any_moved = false;
     double last_group_order = 0;
     for (std::size_t i = 0; i < candidates_.size() && load > 0; ++i) {
-      const auto& [order, s] = candidates_[i];
+      const auto& [order, session] = candidates_[i];
       if (why == MoveReason::rebalance && order >= kNoOtherHostOrder &&
           order != std::exchange(last_group_order, order)) {
         // A part of a group that moved alone would cost one more host to serve the group: it moves as a whole
@@ -1074,13 +1090,13 @@
         }
       }
       // Rounds at random to whole sessions. If each of many nodes rounded up, they would move far too much.
-      if (why == MoveReason::rebalance && std::generate_canonical<double, 32>(random_) * s->load > load)
+      if (why == MoveReason::rebalance && std::generate_canonical<double, 32>(random_) * session->load > load)
         break;
-      s->moved = any_moved = true;
-      load -= std::max(s->load, 1e-9);
-      if (s->request.client && why != MoveReason::drain)
-        moved_client_loads_.record(*s->request.client, s->load, now_);
-      delegate_.move(s->id);
+      session->moved = any_moved = true;
+      load -= std::max(session->load, 1e-9);
+      if (session->request.client && why != MoveReason::drain)
+        moved_client_loads_.record(*session->request.client, session->load, now_);
+      delegate_.move(session->id);
     }
     return any_moved;
   }
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -57,7 +57,8 @@
   "  if (!say(line) || all_out())" "  say(line);
   if (!say(line) || all_out())")
 flintweir_flaw(drained-dialled rolling_deploy drain src/balance.cpp
-  "    h->update(zone, cell, status," "    h->update(zone, cell, status == HostStatus::draining ? h->status : status,")
+  "    host->update(zone, cell, status,"
+  "    host->update(zone, cell, status == HostStatus::draining ? host->status : status,")
 flintweir_flaw(cold-ignored rolling_deploy cold src/balance.cpp
   "+ cost <= budget ||" "+ cost <= 100 * budget ||")
 flintweir_flaw(byte-lost mix line src/line/relay.cpp
@@ -78,7 +79,7 @@
   } nobody;
   host_->set_events(nobody);")
 flintweir_flaw(runs-twice hosts_hang effect src/balance.cpp
-  "if (!known_not_run) s->record_possible_run(" "if (known_not_run) s->record_possible_run(")
+  "if (!known_not_run)" "if (known_not_run)")
 flintweir_flaw(gone-and-dialled-on clients_leave gone src/line/proxy_session.cpp
   "  if (client_.still_waits()) return true;" "  return true;"
   "  if (answered_) return;
