--- a/tests/cold_test.cpp
+++ b/tests/cold_test.cpp
@@ -43,7 +43,7 @@
       balancer->list_host(HostId{h}, ZoneId{0}, CellId{0}, HostStatus::active, 1, 0us);
     balancer->end_list();
   }
-  void at(Micros now) {
+  void set_time(Micros now) {
     now_ = now;
     balancer->set_time(now);
     while (!timers_.empty() && timers_.begin()->first <= now) {
@@ -58,22 +58,22 @@
     dialled_.reset();
     SessionRequest request{};
     request.deadline = now_ + 2s;
-    SessionHandle s = balancer->start_session(SessId{++next_}, request);
+    SessionHandle session = balancer->start_session(SessId{++next_}, request);
     if (!dialled_) {
-      if (s.live()) s.client_left();
+      if (session.live()) session.client_left();
       return std::nullopt;
     }
     const HostId host = *dialled_;
-    s.dial_accepted(DialNo{0});
-    s.set_load(kLoad);
-    open_.emplace(now_ + lifetime, s);
+    session.dial_accepted(DialNo{0});
+    session.set_load(kLoad);
+    open_.emplace(now_ + lifetime, session);
     return host;
   }
   void end_sessions() {
     while (!open_.empty() && open_.begin()->first <= now_) {
-      SessionHandle s = open_.begin()->second;
+      SessionHandle session = open_.begin()->second;
       open_.erase(open_.begin());
-      s.dial_ended(DialNo{0}, DialOutcome::completed, true);
+      session.dial_ended(DialNo{0}, DialOutcome::completed, true);
     }
   }
   void dial(SessId, HostId host, Micros) override { dialled_ = host; }
@@ -128,7 +128,7 @@
   constexpr int kStepsBefore = 400, kStepsAfter = 200;  // before and after the cold host starts
   std::map<std::uint64_t, double> connections;          // by host
   std::deque<Micros> window;
-  Result out{-1e9, 0};
+  Result result{-1e9, 0};
   const double full = fleet.capacity * seconds(fleet.life);
   std::multimap<Micros, std::uint64_t> ends;
   for (int step = 0; step < kStepsBefore + kStepsAfter; ++step) {
@@ -136,28 +136,28 @@
     for (; !ends.empty() && ends.begin()->first <= now; ends.erase(ends.begin()))
       --connections[ends.begin()->second];
     const Micros age = kStep * (step - kStepsBefore);
-    const double warmth =
+    const double capacity_share =
         kCold.initial_share + (1 - kCold.initial_share) * std::clamp(age / 1us / 1e7, 0.0, 1.0);
     for (unsigned i = 0; i < fleet.nodes; ++i) {
-      Node& n = *nodes[i];
-      n.at(now);
-      n.end_sessions();
+      Node& node = *nodes[i];
+      node.set_time(now);
+      node.end_sessions();
       if (step == kStepsBefore) {
-        n.balancer->begin_list(false);
-        n.balancer->list_host(kColdHost, ZoneId{0}, CellId{0}, HostStatus::active, 1, now);
-        n.balancer->end_list();
+        node.balancer->begin_list(false);
+        node.balancer->list_host(kColdHost, ZoneId{0}, CellId{0}, HostStatus::active, 1, now);
+        node.balancer->end_list();
       }
-      for (const HostId h : std::exchange(n.probes, {})) {
+      for (const HostId h : std::exchange(node.probes, {})) {
         LoadReport r;
-        r.load = connections[h.value] / full / (h == kColdHost ? warmth : 1);
-        n.balancer->probe_ended(h, DialOutcome::completed, 1ms, r);
+        r.load = connections[h.value] / full / (h == kColdHost ? capacity_share : 1);
+        node.balancer->probe_ended(h, DialOutcome::completed, 1ms, r);
       }
       std::poisson_distribution<int> arrivals((step < kStepsBefore ? kRate : kBurstRate) * fleet.capacity *
                                               rate[i] / sum_of_rates * seconds(kStep));
       for (int k = arrivals(random); k > 0; --k) {
         const Micros life{std::llround(static_cast<double>(fleet.life.count()) *
                                        -std::log(1 - std::generate_canonical<double, 53>(random)))};
-        const auto host = n.start_session(life);
+        const auto host = node.start_session(life);
         if (!host) continue;
         connections[host->value] += 1;
         ends.emplace(now + life, host->value);
@@ -166,12 +166,12 @@
     }
     while (!window.empty() && now - window.front() >= kCold.window) window.pop_front();
     if (step < kStepsBefore) continue;
-    const double limit = kCold.overload_factor * warmth * fleet.capacity * seconds(kCold.window);
-    out.most_sent = std::max(out.most_sent, static_cast<unsigned>(window.size()));
-    out.excess =
-        std::max(out.excess, (static_cast<double>(window.size()) - limit) / (2 * std::sqrt(limit) + 2));
+    const double limit = kCold.overload_factor * capacity_share * fleet.capacity * seconds(kCold.window);
+    result.most_sent = std::max(result.most_sent, static_cast<unsigned>(window.size()));
+    result.excess =
+        std::max(result.excess, (static_cast<double>(window.size()) - limit) / (2 * std::sqrt(limit) + 2));
   }
-  return out;
+  return result;
 }
 
 class ColdHostOfFleet : public testing::TestWithParam<std::tuple<unsigned, double, Micros, double>> {};
