--- a/src/balance.cpp
+++ b/src/balance.cpp
@@ -1131,28 +1131,46 @@
   ListPolicy list_policy_;
   double crossing_price_;
   ProbePacer probe_pacer_;
-  Micros probe_interval_ = kProbeInterval, used_host_interval_ = kProbeInterval,
-         idle_host_interval_ = kProbeInterval;
+  Micros probe_interval_ = kProbeInterval;      // if all hosts are probed equally often
+  Micros used_host_interval_ = kProbeInterval;  // of hosts with sessions of this node
+  Micros idle_host_interval_ = kProbeInterval;  // of all others
   RoundRobin round_robin_;
-  std::vector<DecayingMean> session_loads_;
+  std::vector<DecayingMean> session_loads_;  // mean load of a session, by listener
   ClientLoads moved_client_loads_;
   DialThrottle throttle_;
   DecayingSum moving_load_{kProbeInterval};  // load moved off bad paths that has not been placed again yet
   SortedHosts<Host> hosts_;
+  // Scratch buffers of single calls.
   std::vector<std::pair<double, Host*>> hosts_by_load_;
-  std::vector<std::pair<double, Session*>> candidates_;
-  std::vector<unsigned> skip_reasons_;
+  std::vector<std::pair<double, Session*>> candidates_;  // to be moved, in this order
+  std::vector<unsigned> skip_reasons_;                   // by host
   std::vector<SlabKey> probe_waiters_;
-  std::vector<double> ranks_, sorted_ranks_;
+  std::vector<double> ranks_, sorted_ranks_;  // of hosts for a group
   Slab<Session> sessions_;
-  Micros now_{0}, first_time_ = kNever, quiet_since_{0}, list_request_at_ = kNever, fleet_full_at_ = kNever,
-                  nothing_placed_since_{0}, list_retry_delay_ = kProbeInterval;
-  bool list_stale_ = false, list_complete_ = false, mean_known_ = false, health_suspect_ = false,
-       groups_visible_ = false, session_load_known_ = false;
-  double mean_load_ = 0, mean_connections_ = 0, host_load_per_session_load_ = 0, mean_session_load_ = 0,
-         fill_rate_per_weight_ = 0, filled_hosts_ = 0, used_hosts_ = 0, used_hosts_counted_ = 0;
+  Micros now_{0};
+  Micros first_time_ = kNever;  // of the first call of set_time()
+  Micros quiet_since_{0};       // when a host was overloaded or load was rebalanced last
+  Micros list_request_at_ = kNever;
+  Micros fleet_full_at_ = kNever;  // when no host had room last
+  Micros nothing_placed_since_{0};
+  Micros list_retry_delay_ = kProbeInterval;
+  bool list_stale_ = false;
+  bool list_complete_ = false;  // of the list that is being given
+  bool mean_known_ = false;
+  bool health_suspect_ = false;      // most hosts look unhealthy, which is doubtful
+  bool groups_visible_ = false;      // this node has enough connections to know where groups are
+  bool session_load_known_ = false;  // the load of any session has been reported
+  double mean_load_ = 0;             // of hosts with a report
+  double mean_connections_ = 0;      // of this node, per host
+  double host_load_per_session_load_ = 0;
+  double mean_session_load_ = 0;
+  double fill_rate_per_weight_ = 0;    // see ColdStartLimiter::has_room()
+  double filled_hosts_ = 0;            // full hosts of weight 1 that the load of all nodes amounts to
+  double used_hosts_ = 0;              // hosts with sessions of this node, at the last count
+  double used_hosts_counted_ = 0;      // in the present count
   bool check_hosts_to_leave_ = false;  // whether a host is draining or has a bad path
-  unsigned ticks_ = 0, time_limit_factor_ = 1;
+  unsigned ticks_ = 0;
+  unsigned time_limit_factor_ = 1;  // see DialRules::time_limit()
 };
 
 }  // namespace
