--- a/apps/flintweir_lab.cpp
+++ b/apps/flintweir_lab.cpp
@@ -430,7 +430,7 @@
       for (std::size_t n; (n = next++) < all.size();) {
         if (to_text(all[n]).find(only) == std::string::npos) continue;
         ++played;
-        const auto found = play(all[n]);
+        const auto found = run_interleaving(all[n]);
         if (!found.empty()) ++broken, first[n] = found.front();
       }
     });
--- a/src/lab/checks/change_deadlines.cpp
+++ b/src/lab/checks/change_deadlines.cpp
@@ -12,24 +12,24 @@
 
 }  // namespace
 
-void ChangeDeadlines::look(const ListModel& list, bool reachable, Micros now) {
+void ChangeDeadlines::update(const ListModel& list, bool reachable, Micros now) {
   const std::uint64_t version = list.version(now);
   if (version > version_)
-    for (const ListModel::Entry& entry : list.since(version_, now))
+    for (const ListModel::Entry& entry : list.changes_since(version_, now))
       open_.push_back({entry, now, Micros::max()});
   version_ = std::max(version_, version);
   if (!reachable) return;
-  for (Due& change : open_) change.told_at = std::min(change.told_at, now + kAfterChange);
+  for (Change& change : open_) change.deadline = std::min(change.deadline, now + kAfterChange);
 }
 
-void ChangeDeadlines::moved(Micros now) {
-  for (Due& change : open_) change.told_at = std::min(change.told_at, now + kAfterTurn);
+void ChangeDeadlines::discovery_moved(Micros now) {
+  for (Change& change : open_) change.deadline = std::min(change.deadline, now + kAfterTurn);
 }
 
-std::vector<ChangeDeadlines::Due> ChangeDeadlines::due(Micros now) {
+std::vector<ChangeDeadlines::Change> ChangeDeadlines::take_due(Micros now) {
   const auto later = std::stable_partition(open_.begin(), open_.end(),
-                                           [now](const Due& change) { return change.told_at <= now; });
-  std::vector<Due> out(open_.begin(), later);
+                                           [now](const Change& change) { return change.deadline <= now; });
+  std::vector<Change> out(open_.begin(), later);
   open_.erase(open_.begin(), later);
   return out;
 }
--- a/src/lab/checks/change_deadlines.h
+++ b/src/lab/checks/change_deadlines.h
@@ -11,22 +11,22 @@
 
 class ChangeDeadlines {
  public:
-  struct Due {
+  struct Change {
     ListModel::Entry entry;
-    Micros had;      // by discovery, as far as is known
-    Micros told_at;  // to all nodes, heard or not
+    Micros published_at;  // by discovery, as far as is known
+    Micros deadline;      // to all nodes, heard or not
   };
   explicit ChangeDeadlines(std::uint64_t version) : version_(version) {}
 
   // To be called often: a deadline may be later by the time between two calls, never sooner.
-  void look(const ListModel& list, bool reachable, Micros now);
-  void moved(Micros now);  // nodes are told of another service
+  void update(const ListModel& list, bool reachable, Micros now);
+  void discovery_moved(Micros now);  // nodes are told of another service
   // Those that count as told by now, in their order, each once.
-  std::vector<Due> due(Micros now);
+  std::vector<Change> take_due(Micros now);
 
  private:
   std::uint64_t version_;  // up to which all is taken in
-  std::vector<Due> open_;
+  std::vector<Change> open_;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/checks/checker.cpp
+++ b/src/lab/checks/checker.cpp
@@ -25,7 +25,7 @@
   if (s.reported.insert(rule).second) broken_({rule, now, id, what});
 }
 
-Checker::Dial* Checker::find(CallNo call, Session*& session) {
+Checker::Dial* Checker::find(HostDialNo call, Session*& session) {
   const auto it = calls_.find(call.value);
   session = it == calls_.end() ? nullptr : find(it->second);
   if (!session) return nullptr;
@@ -45,15 +45,15 @@
 // What the network takes of a limit, there and back.
 Micros Checker::slack(const Session& s, const Dial* d) const {
   const MachineNo node = nodes_.at(s.node.value).machine;
-  Micros out = kOnSockets + 2 * paths_.longest(s.client, node);
-  if (d) out += 2 * paths_.longest(node, hosts_.at(d->host.value).machine);
+  Micros out = kOnSockets + 2 * paths_.max_delay(s.client, node);
+  if (d) out += 2 * paths_.max_delay(node, hosts_.at(d->host.value).machine);
   return out;
 }
 
-bool Checker::sound(const Session& s, const Dial* d, Micros since) const {
+bool Checker::healthy_since(const Session& s, const Dial* d, Micros since) const {
   const MachineNo node = nodes_.at(s.node.value).machine;
-  return paths_.sound(s.client, node, since) &&
-         (!d || paths_.sound(node, hosts_.at(d->host.value).machine, since));
+  return paths_.healthy_since(s.client, node, since) &&
+         (!d || paths_.healthy_since(node, hosts_.at(d->host.value).machine, since));
 }
 
 bool Checker::spoke_since(HostNo host, Micros since) const {
@@ -98,7 +98,7 @@
 
 // A node that could not know of a host's start sends to it as to a warm one: the rule is broken where two
 // thirds of what tipped it over came from nodes that had been told.
-void Checker::host_tipped(HostNo host, Micros now) {
+void Checker::host_overloaded(HostNo host, Micros now) {
   const Host& h = hosts_[host.value];
   double all = 0, told = 0;
   for (const Host::Sent& s : h.cold_sent) {
@@ -109,7 +109,7 @@
   broken_({Rule::cold, now, {}, "host " + h.name + " was cold and got more than it can bear"});
 }
 
-void Checker::cold_sent(HostNo host, SessionNo id, double load, Micros window, Micros now) {
+void Checker::record_cold_load(HostNo host, SessionNo id, double load, Micros window, Micros now) {
   Host& h = hosts_[host.value];
   const Session* const s = find(id);
   bool knows = false;
@@ -122,8 +122,8 @@
   h.cold_sent.push_back({now, load, knows});
 }
 
-void Checker::told(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros started,
-                   Micros now) {
+void Checker::host_listed(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros started,
+                          Micros now) {
   Node& n = nodes_[node.value];
   Node::Start& last = n.told_start[host.value];
   if (now < last.told_at) return;  // something newer has been told since
@@ -134,8 +134,8 @@
     n.told_away.emplace(host.value, Node::Away{now, teller, now});
 }
 
-void Checker::counts_as_told(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros had,
-                             Micros at) {
+void Checker::host_listing_due(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros had,
+                               Micros at) {
   Node& n = nodes_[node.value];
   Node::Start& last = n.told_start[host.value];
   if (!n.up || last.told_at >= had) return;  // it was told of that, or of something newer
@@ -146,8 +146,8 @@
     n.told_away.emplace(host.value, Node::Away{at, teller, had});
 }
 
-void Checker::asked(SessionNo id, NodeNo node, MachineNo client, const Listener& listener, Micros patience,
-                    Micros now) {
+void Checker::session_requested(SessionNo id, NodeNo node, MachineNo client, const Listener& listener,
+                                Micros patience, Micros now) {
   Session& s = sessions_[id.value];
   s.node = node;
   s.client = client;
@@ -157,7 +157,7 @@
   s.excused = !nodes_[node.value].up;
 }
 
-void Checker::answered(SessionNo id, Answer answer, std::string_view receipt, Micros now) {
+void Checker::session_answered(SessionNo id, Answer answer, std::string_view receipt, Micros now) {
   Session* const s = find(id);
   if (!s) return;
   if (s->answer != Answer::none) {
@@ -167,7 +167,7 @@
   s->answer = answer;
   s->answered_at = now;
   const Micros late = now - s->asked_at - s->patience;
-  if (late > slack(*s, nullptr) && !s->excused && sound(*s, nullptr, s->asked_at))
+  if (late > slack(*s, nullptr) && !s->excused && healthy_since(*s, nullptr, s->asked_at))
     breaks(Rule::answer, id, *s, now, "its answer came " + ms(late) + " too late");
   if (answer == Answer::up) {
     for (const Dial& d : s->dials)
@@ -185,14 +185,14 @@
   }
 }
 
-void Checker::client_said(SessionNo id, std::uint64_t line, Micros now) {
+void Checker::client_sent_line(SessionNo id, std::uint64_t line, Micros now) {
   Session* const s = find(id);
   if (!s) return;
   s->up.push_back({line, now});
   if (s->waiting_since == Micros{0}) s->waiting_since = now;
 }
 
-void Checker::client_heard(SessionNo id, std::uint64_t line, bool is_move, Micros now) {
+void Checker::client_received_line(SessionNo id, std::uint64_t line, bool is_move, Micros now) {
   Session* const s = find(id);
   if (!s) return;
   s->waiting_since = Micros{0};
@@ -208,12 +208,12 @@
     return;
   }
   const Micros took = now - d->down.front().at;
-  if (took > kHeld + slack(*s, d) && sound(*s, d, d->down.front().at))
+  if (took > kHeld + slack(*s, d) && healthy_since(*s, d, d->down.front().at))
     breaks(Rule::held, id, *s, now, "a line to the client took " + ms(took));
   d->down.pop_front();
 }
 
-void Checker::client_ends(SessionNo id, bool cleanly, Micros now) {
+void Checker::client_closed(SessionNo id, bool cleanly, Micros now) {
   Session* const s = find(id);
   if (!s || s->client_over) return;
   s->client_over = true;
@@ -221,40 +221,40 @@
   s->client_over_at = now;
   s->waiting_since = Micros{0};
   if (s->answer == Answer::none && !s->excused && now - s->asked_at - s->patience > slack(*s, nullptr) &&
-      sound(*s, nullptr, s->asked_at)) {
+      healthy_since(*s, nullptr, s->asked_at)) {
     breaks(Rule::answer, id, *s, now, "no answer came in time");
   }
 }
 
-void Checker::client_sees_end(SessionNo id, Micros now) {
+void Checker::client_saw_close(SessionNo id, Micros now) {
   Session* const s = find(id);
   if (!s || s->client_over) return;
   s->client_over = true;
   s->client_over_at = now;
   s->waiting_since = Micros{0};
-  if (s->excused || !nodes_[s->node.value].up || !sound(*s, nullptr, s->asked_at)) return;
+  if (s->excused || !nodes_[s->node.value].up || !healthy_since(*s, nullptr, s->asked_at)) return;
   if (s->answer == Answer::none)
     return breaks(Rule::answer, id, *s, now, "its connection ended with no answer");
   if (s->answer != Answer::up || s->moved) return;
   const Dial* const d = open_dial(*s);
-  if (!d || !sound(*s, d, s->answered_at)) return;
+  if (!d || !healthy_since(*s, d, s->answered_at)) return;
   if (!d->host_ended) {
     if (spoke_since(d->host, now - kSilent))
       breaks(Rule::cut, id, *s, now,
              "it was cut without MOVE while its host " + hosts_[d->host.value].name + " answered");
-  } else if (d->ends != Ends::breaks && !d->down.empty()) {
+  } else if (d->ends != CloseKind::aborted && !d->down.empty()) {
     breaks(Rule::line, id, *s, now, std::to_string(d->down.size()) + " lines that its host sent never came");
   }
 }
 
-void Checker::rude_waited(Micros waited, Micros allowance, const char* kind, Micros now) {
+void Checker::check_bad_client_wait(Micros waited, Micros allowance, const char* kind, Micros now) {
   ++checks_;
   if (waited > 3s + kOnSockets + allowance)
     broken_({Rule::rude, now, {}, std::string(kind) + " got neither an error nor a close for " + ms(waited)});
 }
 
-CallNo Checker::dialled(HostNo host, SessionNo id, Micros now) {
-  const CallNo call{++next_call_};
+HostDialNo Checker::begin_dial(HostNo host, SessionNo id, Micros now) {
+  const HostDialNo call{++next_call_};
   Session* const s = find(id);
   if (!s) {
     broken_({Rule::effect, now, id, "a host got a session that no client asked for"});
@@ -266,9 +266,10 @@
   if (const auto away = node.told_away.find(host.value); away != node.told_away.end() && !s->excused) {
     const Micros late = now - away->second.at - grace_;
     const Micros travels =
-        paths_.longest(away->second.teller, node.machine) + 3 * paths_.longest(node.machine, h.machine);
-    if (late > kOnSockets + travels && paths_.sound(away->second.teller, node.machine, away->second.since) &&
-        paths_.sound(node.machine, h.machine, s->asked_at))
+        paths_.max_delay(away->second.teller, node.machine) + 3 * paths_.max_delay(node.machine, h.machine);
+    if (late > kOnSockets + travels &&
+        paths_.healthy_since(away->second.teller, node.machine, away->second.since) &&
+        paths_.healthy_since(node.machine, h.machine, s->asked_at))
       breaks(Rule::drain, id, *s, now,
              "it was sent to " + h.name + ' ' + ms(late) + " after the grace of its drain");
   }
@@ -276,9 +277,9 @@
     // Its end reaches the node, and a dial connects, then sends.
     const Micros late = now - s->client_over_at - kGone;
     const Micros travels =
-        paths_.longest(s->client, node.machine) + 3 * paths_.longest(node.machine, h.machine);
-    if (late > travels && paths_.sound(s->client, node.machine, s->asked_at) &&
-        paths_.sound(node.machine, h.machine, s->asked_at))
+        paths_.max_delay(s->client, node.machine) + 3 * paths_.max_delay(node.machine, h.machine);
+    if (late > travels && paths_.healthy_since(s->client, node.machine, s->asked_at) &&
+        paths_.healthy_since(node.machine, h.machine, s->asked_at))
       breaks(Rule::gone, id, *s, now,
              "it was sent to " + h.name + ' ' + ms(late + kGone) + " after its client had gone");
   }
@@ -292,7 +293,7 @@
   if (s->answer == Answer::busy || s->answer == Answer::err) {
     // What was sent before it, and got lost, comes once the way is mended.
     if (now - s->answered_at > kOnSockets + slack(*s, nullptr) &&
-        paths_.sound(node.machine, h.machine, s->asked_at))
+        paths_.healthy_since(node.machine, h.machine, s->asked_at))
       breaks(Rule::answer, id, *s, now, "it was dialled after its final answer");
   }
   if (first && s->listener.effect == Effect::once_only)
@@ -301,8 +302,8 @@
   if (first && s->listener.effect == Effect::referenced) {
     const Host& ran = hosts_[first->host.value];
     if (now - first->came >
-            s->listener.dedup_window + slack(*s, nullptr) + 2 * paths_.longest(node.machine, h.machine) &&
-        paths_.sound(node.machine, h.machine, first->came))
+            s->listener.dedup_window + slack(*s, nullptr) + 2 * paths_.max_delay(node.machine, h.machine) &&
+        paths_.healthy_since(node.machine, h.machine, first->came))
       breaks(Rule::effect, id, *s, now, "it was dialled again when hosts no longer remembered it");
     if ((s->listener.dedup_scope == DedupScope::zone && ran.zone != h.zone) ||
         (s->listener.dedup_scope == DedupScope::cell && ran.cell != h.cell))
@@ -316,7 +317,7 @@
   return call;
 }
 
-void Checker::host_answers(CallNo call, Answer answer, std::string_view receipt, Micros) {
+void Checker::host_answered(HostDialNo call, Answer answer, std::string_view receipt, Micros) {
   Session* s;
   if (Dial* d = find(call, s)) {
     d->answer = answer;
@@ -324,12 +325,12 @@
   }
 }
 
-void Checker::host_said(CallNo call, std::uint64_t line, Micros now) {
+void Checker::host_sent_line(HostDialNo call, std::uint64_t line, Micros now) {
   Session* s;
   if (Dial* d = find(call, s); d && d->answer == Answer::up) d->down.push_back({line, now});
 }
 
-void Checker::host_heard(CallNo call, std::uint64_t line, Micros now) {
+void Checker::host_received_line(HostDialNo call, std::uint64_t line, Micros now) {
   Session* s;
   Dial* const d = find(call, s);
   if (!d) return;
@@ -337,12 +338,13 @@
   if (s->up.empty() || s->up.front().hash != line)
     return breaks(Rule::line, id, *s, now, "its host got a line that the client did not send next");
   const Micros took = now - s->up.front().at;
-  if (took > kHeld + slack(*s, d) && sound(*s, d, s->up.front().at) && spoke_since(d->host, s->up.front().at))
+  if (took > kHeld + slack(*s, d) && healthy_since(*s, d, s->up.front().at) &&
+      spoke_since(d->host, s->up.front().at))
     breaks(Rule::held, id, *s, now, "a line to the host took " + ms(took));
   s->up.pop_front();
 }
 
-void Checker::host_ends(CallNo call, Ends how, Micros now) {
+void Checker::host_closed(HostDialNo call, CloseKind how, Micros now) {
   Session* s;
   Dial* const d = find(call, s);
   if (!d || d->over) return;
@@ -351,30 +353,30 @@
   d->ends = how;
 }
 
-void Checker::host_sees_end(CallNo call, bool cleanly, Micros now) {
+void Checker::host_saw_close(HostDialNo call, bool cleanly, Micros now) {
   Session* s;
   Dial* const d = find(call, s);
   if (!d || d->over) return;
   d->over = true;
   if (d->overtaken_at != Micros{0}) {
     const MachineNo node = nodes_[s->node.value].machine, host = hosts_[d->host.value].machine;
-    if (now - d->overtaken_at > kOnSockets + 2 * paths_.longest(node, host) && !s->excused &&
-        paths_.sound(node, host, d->overtaken_at) && spoke_since(d->host, d->overtaken_at))
+    if (now - d->overtaken_at > kOnSockets + 2 * paths_.max_delay(node, host) && !s->excused &&
+        paths_.healthy_since(node, host, d->overtaken_at) && spoke_since(d->host, d->overtaken_at))
       breaks(Rule::effect, calls_[call.value], *s, now,
              "a second dial was out for " + ms(now - d->overtaken_at));
   }
   if (d != open_dial(*s) || s->excused) return;
   // The client has said its last, all of which its host must have got; unless a MOVE to it was on its way.
-  if (cleanly && s->client_over && s->clean_end && !s->up.empty() && sound(*s, d, s->answered_at) &&
+  if (cleanly && s->client_over && s->clean_end && !s->up.empty() && healthy_since(*s, d, s->answered_at) &&
       spoke_since(d->host, s->up.front().at)) {
     s->missing = s->up.size();
     s->missing_at = now;
   }
 }
 
-void Checker::scan(Micros now) {
+void Checker::check_overdue(Micros now) {
   for (auto it = sessions_.begin(); it != sessions_.end();) {
-    if (!scan(SessionNo{it->first}, it->second, now)) {
+    if (!check_overdue(SessionNo{it->first}, it->second, now)) {
       ++it;
       continue;
     }
@@ -383,7 +385,7 @@
   }
 }
 
-bool Checker::scan(SessionNo id, Session& s, Micros now) {
+bool Checker::check_overdue(SessionNo id, Session& s, Micros now) {
   ++checks_;
   if (s.missing > 0 && !s.moved && now - s.missing_at > kEnds)
     breaks(Rule::line, id, s, now, std::to_string(s.missing) + " lines that the client sent never came");
@@ -395,7 +397,7 @@
     if (d.over) continue;
     const Micros slack_d = slack(s, &d);
     const auto overdue = [&](Micros since, Micros limit) {
-      return since != Micros{0} && now - since > limit + slack_d && sound(s, &d, since) &&
+      return since != Micros{0} && now - since > limit + slack_d && healthy_since(s, &d, since) &&
              spoke_since(d.host, since);
     };
     if (d.answer == Answer::none && overdue(d.overtaken_at, Micros{0}))
@@ -410,21 +412,21 @@
   }
   if (!s.client_over) {
     if (s.answer == Answer::none && now - s.asked_at - s.patience > slack(s, nullptr) &&
-        sound(s, nullptr, s.asked_at))
+        healthy_since(s, nullptr, s.asked_at))
       breaks(Rule::answer, id, s, now, "no answer has come in time");
     if (open && !s.moved) {
       if (open->host_ended && now - open->host_ended_at > kEnds + slack(s, open) &&
-          sound(s, open, open->host_ended_at))
+          healthy_since(s, open, open->host_ended_at))
         breaks(Rule::ended, id, s, now,
                "its host " + hosts_[open->host.value].name + " has ended it, and nobody told the client");
       const Micros quiet = s.waiting_since == Micros{0} ? Micros{0} : now - s.waiting_since;
-      if (quiet > kSilent + slack(s, open) && sound(s, nullptr, s.waiting_since))
+      if (quiet > kSilent + slack(s, open) && healthy_since(s, nullptr, s.waiting_since))
         breaks(Rule::ended, id, s, now, "nothing came back for " + ms(quiet) + ", and it was not moved");
       if (!open->down.empty() && !open->over && now - open->down.front().at > kHeld + slack(s, open) &&
-          sound(s, open, open->down.front().at))
+          healthy_since(s, open, open->down.front().at))
         breaks(Rule::held, id, s, now, "a line to the client is held");
       if (!s.up.empty() && !open->over && now - s.up.front().at > kHeld + slack(s, open) &&
-          sound(s, open, s.up.front().at) && spoke_since(open->host, s.up.front().at))
+          healthy_since(s, open, s.up.front().at) && spoke_since(open->host, s.up.front().at))
         breaks(Rule::held, id, s, now, "a line to the host is held");
     }
   }
--- a/src/lab/checks/checker.h
+++ b/src/lab/checks/checker.h
@@ -16,7 +16,7 @@
 
 using SessionNo = Id<struct SessionNoTag, std::uint64_t>;  // as its first line gives it
 using HostNo = Id<struct HostNoTag, std::uint32_t>;
-using CallNo = Id<struct CallNoTag, std::uint64_t>;  // one dial, as its host sees it
+using HostDialNo = Id<struct HostDialNoTag, std::uint64_t>;  // one dial, as its host sees it
 
 enum class Rule {
   answer,  // one final answer in time for each session taken
@@ -40,22 +40,22 @@
 };
 
 // What the checker must know of the network between two machines.
-class Paths {
+class NetworkPaths {
  public:
-  virtual Micros longest(MachineNo a, MachineNo b) const = 0;  // one way
+  virtual Micros max_delay(MachineNo a, MachineNo b) const = 0;  // one way
   // Whether all has got through both ways since then, and time to mend what had been lost before.
-  virtual bool sound(MachineNo a, MachineNo b, Micros since) const = 0;
+  virtual bool healthy_since(MachineNo a, MachineNo b, Micros since) const = 0;
 
  protected:
-  ~Paths() = default;
+  ~NetworkPaths() = default;
 };
 
 class Checker {
  public:
   enum class Answer { none, up, busy, err };
-  enum class Ends { bye, move, breaks };
+  enum class CloseKind { bye, move, aborted };
 
-  Checker(const Paths& paths, const HostPlan& hosts, bool only_draining_binds, unsigned most_dials,
+  Checker(const NetworkPaths& paths, const HostPlan& hosts, bool only_draining_binds, unsigned most_dials,
           std::function<void(const Violation&)> broken)
       : paths_(paths),
         grace_(hosts.grace),
@@ -72,33 +72,35 @@
   void host_down(HostNo host, Micros now);
   void host_silent(HostNo host, bool silent, Micros now);
   // It has tipped over while it was cold.
-  void host_tipped(HostNo host, Micros now);
+  void host_overloaded(HostNo host, Micros now);
   // An answer of discovery has been written out, from that machine.
-  void told(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros started, Micros now);
+  void host_listed(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros started,
+                   Micros now);
   // What discovery has since `had` counts as told to that node from `at` on, whether or not it was.
-  void counts_as_told(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros had, Micros at);
+  void host_listing_due(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros had,
+                        Micros at);
 
   // What a client does and sees.
-  void asked(SessionNo id, NodeNo node, MachineNo client, const Listener& listener, Micros patience,
-             Micros now);
-  void answered(SessionNo id, Answer answer, std::string_view receipt, Micros now);
-  void client_said(SessionNo id, std::uint64_t line, Micros now);
-  void client_heard(SessionNo id, std::uint64_t line, bool is_move, Micros now);
-  void client_ends(SessionNo id, bool cleanly, Micros now);  // by its own will
-  void client_sees_end(SessionNo id, Micros now);
-  void rude_waited(Micros waited, Micros allowance, const char* kind, Micros now);
+  void session_requested(SessionNo id, NodeNo node, MachineNo client, const Listener& listener,
+                         Micros patience, Micros now);
+  void session_answered(SessionNo id, Answer answer, std::string_view receipt, Micros now);
+  void client_sent_line(SessionNo id, std::uint64_t line, Micros now);
+  void client_received_line(SessionNo id, std::uint64_t line, bool is_move, Micros now);
+  void client_closed(SessionNo id, bool cleanly, Micros now);  // by its own will
+  void client_saw_close(SessionNo id, Micros now);
+  void check_bad_client_wait(Micros waited, Micros allowance, const char* kind, Micros now);
 
   // What a host sees and does.
-  CallNo dialled(HostNo host, SessionNo id, Micros now);
+  HostDialNo begin_dial(HostNo host, SessionNo id, Micros now);
   // The host is cold, and this dial counts for so much against what would tip it over within a window.
-  void cold_sent(HostNo host, SessionNo id, double load, Micros window, Micros now);
-  void host_answers(CallNo call, Answer answer, std::string_view receipt, Micros now);
-  void host_said(CallNo call, std::uint64_t line, Micros now);
-  void host_heard(CallNo call, std::uint64_t line, Micros now);
-  void host_ends(CallNo call, Ends how, Micros now);
-  void host_sees_end(CallNo call, bool cleanly, Micros now);
-
-  void scan(Micros now);  // what is overdue
+  void record_cold_load(HostNo host, SessionNo id, double load, Micros window, Micros now);
+  void host_answered(HostDialNo call, Answer answer, std::string_view receipt, Micros now);
+  void host_sent_line(HostDialNo call, std::uint64_t line, Micros now);
+  void host_received_line(HostDialNo call, std::uint64_t line, Micros now);
+  void host_closed(HostDialNo call, CloseKind how, Micros now);
+  void host_saw_close(HostDialNo call, bool cleanly, Micros now);
+
+  void check_overdue(Micros now);  // what is overdue
   std::uint64_t checks() const { return checks_; }
 
  private:
@@ -108,14 +110,14 @@
   };
   struct Dial {
     HostNo host;
-    CallNo call;
+    HostDialNo call;
     Micros came{0};
     Answer answer = Answer::none;
     std::string receipt;
     bool over = false;        // as the host sees it
     bool host_ended = false;  // first, or its process died
     Micros host_ended_at{0};
-    Ends ends = Ends::breaks;
+    CloseKind ends = CloseKind::aborted;
     Micros overtaken_at{0};  // by a later dial, while this was out
     std::deque<Line> down;   // its lines that the client has still to hear
   };
@@ -131,7 +133,7 @@
     std::deque<Line> up;
     std::size_t missing = 0;  // of its lines, when its host saw the end
     Micros missing_at{0};
-    CallNo open;  // the dial that the client was told of
+    HostDialNo open;  // the dial that the client was told of
     std::set<Rule> reported;
   };
   struct Node {
@@ -169,16 +171,16 @@
     const auto it = sessions_.find(id.value);
     return it == sessions_.end() ? nullptr : &it->second;
   }
-  Dial* find(CallNo call, Session*& session);
+  Dial* find(HostDialNo call, Session*& session);
   void breaks(Rule rule, SessionNo id, Session& s, Micros now, const std::string& what);
   static bool may_have_run(const Dial& d) { return d.answer != Answer::busy; }
   static Dial* open_dial(Session& s);
   Micros slack(const Session& s, const Dial* d) const;
-  bool sound(const Session& s, const Dial* d, Micros since) const;
-  bool spoke_since(HostNo host, Micros since) const;  // the host was not silent at any time since
-  bool scan(SessionNo id, Session& s, Micros now);    // true: it may be forgotten
+  bool healthy_since(const Session& s, const Dial* d, Micros since) const;
+  bool spoke_since(HostNo host, Micros since) const;         // the host was not silent at any time since
+  bool check_overdue(SessionNo id, Session& s, Micros now);  // true: it may be forgotten
 
-  const Paths& paths_;
+  const NetworkPaths& paths_;
   Micros grace_;
   bool only_draining_binds_;  // a listing as gone binds nobody
   unsigned most_dials_;
--- a/src/lab/checks/interleaving.cpp
+++ b/src/lab/checks/interleaving.cpp
@@ -481,7 +481,9 @@
          (c.once ? ", once only" : "");
 }
 
-std::vector<std::string> play(const Interleaving& interleaving) { return Play(interleaving).run(); }
+std::vector<std::string> run_interleaving(const Interleaving& interleaving) {
+  return Play(interleaving).run();
+}
 
 std::vector<Interleaving> all_interleavings() {
   const std::size_t sizes[] = {std::string_view("OPEN 1 7f c=chat,d=2000\r\n").size() + kSaid.size(),
--- a/src/lab/checks/interleaving.h
+++ b/src/lab/checks/interleaving.h
@@ -43,7 +43,7 @@
 
 std::string to_text(const Interleaving& interleaving);
 // What was broken, each as its rule's name and what was seen; empty where every rule held.
-std::vector<std::string> play(const Interleaving& interleaving);
+std::vector<std::string> run_interleaving(const Interleaving& interleaving);
 // Every interleaving there is: each byte of each text with each event, in both kinds of session, in time and
 // late.
 std::vector<Interleaving> all_interleavings();
--- a/src/lab/models/baselines.cpp
+++ b/src/lab/models/baselines.cpp
@@ -203,7 +203,7 @@
 
 }  // namespace
 
-node::BalancerFactory balancer_named(const std::string& name) {
+node::BalancerFactory balancer_factory(const std::string& name) {
   if (name == "module") return setup::create_balancer;
   const Way way = name == "random" ? Way::random : name == "round-robin" ? Way::in_turn : Way::fewest;
   return [way](const setup::JsonObject& settings, BalancerDelegate& out,
--- a/src/lab/models/baselines.h
+++ b/src/lab/models/baselines.h
@@ -10,6 +10,6 @@
 namespace flintweir::lab {
 
 // Of "module", "random", "round-robin" or "least-connections".
-node::BalancerFactory balancer_named(const std::string& name);
+node::BalancerFactory balancer_factory(const std::string& name);
 
 }  // namespace flintweir::lab
--- a/src/lab/models/front_model.h
+++ b/src/lab/models/front_model.h
@@ -16,7 +16,7 @@
   explicit FrontModel(std::vector<ZoneNo> zones_of_nodes) {
     for (const ZoneNo z : zones_of_nodes) nodes_.push_back({z});
   }
-  void check_answered(NodeNo n) {
+  void check_succeeded(NodeNo n) {
     nodes_[n.value].in = true;
     nodes_[n.value].away_at.reset();
   }
--- a/src/lab/models/host_model.cpp
+++ b/src/lab/models/host_model.cpp
@@ -26,21 +26,21 @@
   return capacity_ * warm * speed_;
 }
 
-double HostModel::asked() const {
+double HostModel::utilization() const {
   return (load_ + plan_.group_cost * mean_load_ * static_cast<double>(groups_.size())) / present(at_);
 }
 
 // Work that is asked over what it can do piles up, and is done when less is asked.
 void HostModel::advance(Micros now) {
   if (now <= at_) return;
-  const double over = asked() - 1;
+  const double over = utilization() - 1;
   waiting_ = std::clamp(waiting_ + over * seconds(now - at_), 0.0, 5.0);
   at_ = now;
 }
 
 HostModel::Verdict HostModel::open(Micros now, double load) {
   advance(now);
-  if (cold(now)) {
+  if (is_cold(now)) {
     while (!sent_.empty() && now - sent_.front().first > cold_.tip_after) sent_.pop_front();
     sent_.emplace_back(now, load);
     double sum = 0;
@@ -89,7 +89,7 @@
 const HostModel::Report& HostModel::report(Micros now) {
   advance(now);
   if (reported_at_ == Micros::min() || now - reported_at_ >= plan_.refresh) {
-    report_ = {asked(), std::min(1.0, asked()), connections_};
+    report_ = {utilization(), std::min(1.0, utilization()), connections_};
     reported_at_ = now;
   }
   return report_;
--- a/src/lab/models/host_model.h
+++ b/src/lab/models/host_model.h
@@ -36,16 +36,16 @@
   void start(Micros now, bool cold);
   void drain() { draining_ = true; }
   bool draining() const { return draining_; }
-  bool tipped() const { return tipped_; }
-  bool cold(Micros now) const { return cold_start_ && now - started_ < cold_.warm_within; }
-  Micros started() const { return cold_start_ ? started_ : Micros{0}; }
+  bool overloaded() const { return tipped_; }
+  bool is_cold(Micros now) const { return cold_start_ && now - started_ < cold_.warm_within; }
+  Micros boot_time() const { return cold_start_ ? started_ : Micros{0}; }
 
   // Troubles, until taken back.
-  void hang(bool on) { hangs_ = on; }
-  void half_dead(bool on) { half_dead_ = on; }
-  void err(double share) { errs_ = share; }
-  void reset(double share) { resets_ = share; }
-  void slow(Micros now, double speed) {
+  void set_hanging(bool on) { hangs_ = on; }
+  void set_half_dead(bool on) { half_dead_ = on; }
+  void set_error_share(double share) { errs_ = share; }
+  void set_reset_share(double share) { resets_ = share; }
+  void set_speed(Micros now, double speed) {
     advance(now);
     speed_ = speed;
   }
@@ -59,7 +59,7 @@
   void changed(Micros now, double by);
   void closed(Micros now, double load, std::uint64_t group);
 
-  double asked() const;  // load over what it can do now
+  double utilization() const;  // load over what it can do now
   double present(Micros now) const;
   Micros line_takes(Micros now);  // from a client's line to what comes back
   const Report& report(Micros now);
--- a/src/lab/models/host_server.cpp
+++ b/src/lab/models/host_server.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 HostServer::HostServer(net::Network& network, HostModel& model, HostNo no, std::string name,
-                       const Register& known, Checker& checker, EventLog& log, const HostPlan& plan,
+                       const SessionRegistry& known, Checker& checker, EventLog& log, const HostPlan& plan,
                        const TrafficPlan& traffic, Micros tip_after, std::uint64_t seed)
     : sockets_(network, 1u << 20),
       timers_(network),
@@ -61,7 +61,7 @@
       if (hangs && !text.starts_with("OPEN ")) return;
       first_line(c, text);
     } else if (c.phase == Call::Phase::open) {
-      checker_.host_heard(c.call, hash_of(text), timers_.now());
+      checker_.host_received_line(c.call, hash_line(text), timers_.now());
       if (model_.serving()) {
         c.last_reply = std::max(c.last_reply, timers_.now() + model_.line_takes(timers_.now()));
         c.replies.push_back(static_cast<unsigned>(text.size()) + 2);
@@ -77,8 +77,8 @@
   if (c.stream.at_eof()) {
     // Whoever ends its sending on a session has given it up, or has said its last.
     if (c.phase == Call::Phase::open) {
-      checker_.host_sees_end(c.call, true, timers_.now());
-      return leave(c, Checker::Ends::bye, "BYE\r\n");
+      checker_.host_saw_close(c.call, true, timers_.now());
+      return leave(c, Checker::CloseKind::bye, "BYE\r\n");
     }
     return over(c, true);
   }
@@ -98,21 +98,21 @@
   if (!line.starts_with("OPEN ") ||
       std::from_chars(line.data() + 5, line.data() + line.size(), id, 16).ec != std::errc{}) {
     log_.line(now, "syntax host=%s", name_.c_str());
-    checker_.dialled(no_, SessionNo{0}, now);
+    checker_.begin_dial(no_, SessionNo{0}, now);
     c.phase = Call::Phase::leaving;
     return void(c.out.say("SYNTAX\r\n"));
   }
   c.session = {id};
-  c.call = checker_.dialled(no_, c.session, now);
-  const Asked* const asked = known_.asked(c.session);
+  c.call = checker_.begin_dial(no_, c.session, now);
+  const SessionLoad* const asked = known_.find_session(c.session);
   c.load = asked ? asked->load : traffic_.load;
   c.group = asked ? asked->group : 0;
-  const bool tipped = model_.tipped();
-  if (model_.cold(now)) checker_.cold_sent(no_, c.session, c.load, tip_after_, now);
+  const bool tipped = model_.overloaded();
+  if (model_.is_cold(now)) checker_.record_cold_load(no_, c.session, c.load, tip_after_, now);
   const HostModel::Verdict verdict = model_.open(now, c.load);
-  if (model_.tipped() && !tipped) {
+  if (model_.overloaded() && !tipped) {
     log_.line(now, "tipped host=%s pushed=%.2f", name_.c_str(), model_.pushed());
-    checker_.host_tipped(no_, now);
+    checker_.host_overloaded(no_, now);
     checker_.host_silent(no_, true, now);
   }
   c.answer = verdict.answer;
@@ -131,8 +131,8 @@
       char up[48];
       std::snprintf(up, sizeof up, "UP r%u-%llu\r\n", no_.value,
                     static_cast<unsigned long long>(++receipts_));
-      checker_.host_answers(c.call, Checker::Answer::up, net::trim_line_end(std::string_view(up).substr(3)),
-                            now);
+      checker_.host_answered(c.call, Checker::Answer::up, net::trim_line_end(std::string_view(up).substr(3)),
+                             now);
       model_.opened(now, c.load, c.group);
       c.phase = Call::Phase::open;
       c.loaded_at = now;
@@ -144,13 +144,13 @@
       return came(c);
     }
     case HostModel::Answer::busy:
-      checker_.host_answers(c.call, Checker::Answer::busy, {}, now);
-      return leave(c, Checker::Ends::bye, "BUSY\r\n");
+      checker_.host_answered(c.call, Checker::Answer::busy, {}, now);
+      return leave(c, Checker::CloseKind::bye, "BUSY\r\n");
     case HostModel::Answer::err:
-      checker_.host_answers(c.call, Checker::Answer::err, {}, now);
-      return leave(c, Checker::Ends::bye, "ERR\r\n");
+      checker_.host_answered(c.call, Checker::Answer::err, {}, now);
+      return leave(c, Checker::CloseKind::bye, "ERR\r\n");
     case HostModel::Answer::reset:
-      checker_.host_ends(c.call, Checker::Ends::breaks, now);
+      checker_.host_closed(c.call, Checker::CloseKind::aborted, now);
       c.stream.abort();
       return free(c);
     case HostModel::Answer::nothing:
@@ -159,7 +159,7 @@
 }
 
 void HostServer::say(Call& c, const std::string& line) {
-  checker_.host_said(c.call, hash_of(net::trim_line_end(line)), timers_.now());
+  checker_.host_sent_line(c.call, hash_line(net::trim_line_end(line)), timers_.now());
   c.out.say(line);
 }
 
@@ -182,7 +182,7 @@
     std::snprintf(text, sizeof text, "LOAD %.0f\r\n", load);
     say(c, text);
   }
-  say(c, line_of("got", c.session, ++c.said, size));
+  say(c, make_line("got", c.session, ++c.said, size));
 }
 
 void HostServer::written(Call& c) {
@@ -191,13 +191,13 @@
 }
 
 // The last word, then the end; what still comes is read until the other side ends as well.
-void HostServer::leave(Call& c, Checker::Ends how, std::string_view last) {
+void HostServer::leave(Call& c, Checker::CloseKind how, std::string_view last) {
   const Micros now = timers_.now();
   if (c.phase == Call::Phase::open) {
-    checker_.host_said(c.call, hash_of(net::trim_line_end(last)), now);
+    checker_.host_sent_line(c.call, hash_line(net::trim_line_end(last)), now);
     model_.closed(now, c.load, c.group);
   }
-  checker_.host_ends(c.call, how, now);
+  checker_.host_closed(c.call, how, now);
   c.phase = Call::Phase::leaving;
   if (!c.out.say(last) || c.stream.at_eof()) {
     c.stream.close();
@@ -212,7 +212,7 @@
 void HostServer::over(Call& c, bool cleanly) {
   if (model_.hanging()) return;  // it notices nothing
   if (c.phase == Call::Phase::open) model_.closed(timers_.now(), c.load, c.group);
-  if (c.call.value) checker_.host_sees_end(c.call, cleanly, timers_.now());
+  if (c.call.value) checker_.host_saw_close(c.call, cleanly, timers_.now());
   c.stream.close();
   free(c);
 }
@@ -235,7 +235,7 @@
 void HostServer::send_away(Call& c) {
   log_.line(timers_.now(), "sends-away session=%llx host=%s",
             static_cast<unsigned long long>(c.session.value), name_.c_str());
-  leave(c, Checker::Ends::move, "MOVE\r\n");
+  leave(c, Checker::CloseKind::move, "MOVE\r\n");
 }
 
 void HostServer::drain() {
@@ -263,7 +263,7 @@
   }
 }
 
-void HostServer::die() {
+void HostServer::abort_all() {
   calls_.for_each([](SlabKey, Call& c) { c.stream.abort(); });
 }
 
--- a/src/lab/models/host_server.h
+++ b/src/lab/models/host_server.h
@@ -5,7 +5,7 @@
 
 #include "lab/checks/checker.h"
 #include "lab/models/host_model.h"
-#include "lab/models/talk.h"
+#include "lab/models/line_io.h"
 #include "lab/reports/event_log.h"
 #include "net/timer_queue.h"
 #include "slab.h"
@@ -13,28 +13,28 @@
 namespace flintweir::lab {
 
 // What a first line stands for, by the number that it gives.
-struct Asked {
+struct SessionLoad {
   double load = 0;
   std::uint64_t group = 0;
 };
-class Register {
+class SessionRegistry {
  public:
-  virtual const Asked* asked(SessionNo id) const = 0;
+  virtual const SessionLoad* find_session(SessionNo id) const = 0;
 
  protected:
-  ~Register() = default;
+  ~SessionRegistry() = default;
 };
 
 class HostServer final : net::AcceptEvents, net::TimerEvents {
  public:
-  HostServer(net::Network& network, HostModel& model, HostNo no, std::string name, const Register& known,
-             Checker& checker, EventLog& log, const HostPlan& plan, const TrafficPlan& traffic,
-             Micros tip_after, std::uint64_t seed);
+  HostServer(net::Network& network, HostModel& model, HostNo no, std::string name,
+             const SessionRegistry& known, Checker& checker, EventLog& log, const HostPlan& plan,
+             const TrafficPlan& traffic, Micros tip_after, std::uint64_t seed);
 
   void serve(const Address& at);  // throws std::system_error
   void drain();                   // sends its clients away as the plan says
   void resume();                  // after it has hung
-  void die();                     // breaks everything off
+  void abort_all();               // breaks everything off
 
  private:
   struct Call final : net::StreamEvents {
@@ -44,11 +44,11 @@
     void broken(net::Stream&) override { host.over(*this, false); }
     HostServer& host;
     net::Stream stream;
-    Speaker out;
+    BufferedWriter out;
     SlabKey key;
     enum class Phase { first, answering, open, leaving } phase = Phase::first;
     SessionNo session;
-    CallNo call;
+    HostDialNo call;
     HostModel::Answer answer = HostModel::Answer::nothing;
     double load = 0, told_load = 0;
     std::uint64_t group = 0;
@@ -70,7 +70,7 @@
   void reply(Call& c);
   void say(Call& c, const std::string& line);
   void send_away(Call& c);
-  void leave(Call& c, Checker::Ends how, std::string_view last);
+  void leave(Call& c, Checker::CloseKind how, std::string_view last);
   void free(Call& c);
 
   net::Sockets sockets_;
@@ -78,7 +78,7 @@
   HostModel& model_;
   HostNo no_;
   std::string name_;
-  const Register& known_;
+  const SessionRegistry& known_;
   Checker& checker_;
   EventLog& log_;
   const HostPlan& plan_;
--- a/src/lab/models/talk.cpp
+++ b/src/lab/models/line_io.cpp
@@ -1,4 +1,4 @@
-#include "lab/models/talk.h"
+#include "lab/models/line_io.h"
 
 #include <xxhash.h>
 
@@ -6,9 +6,9 @@
 
 namespace flintweir::lab {
 
-std::uint64_t hash_of(std::string_view line) { return XXH3_64bits(line.data(), line.size()); }
+std::uint64_t hash_line(std::string_view line) { return XXH3_64bits(line.data(), line.size()); }
 
-std::string line_of(const char* who, SessionNo session, unsigned number, unsigned size) {
+std::string make_line(const char* who, SessionNo session, unsigned number, unsigned size) {
   char head[64];
   std::snprintf(head, sizeof head, "%s %llx %u ", who, static_cast<unsigned long long>(session.value),
                 number);
--- a/src/lab/models/talk.h
+++ b/src/lab/models/line_io.h
@@ -11,14 +11,14 @@
 
 namespace flintweir::lab {
 
-std::uint64_t hash_of(std::string_view line);  // without its end
+std::uint64_t hash_line(std::string_view line);  // without its end
 // A line with its end, `size` bytes long (24 at least).
-std::string line_of(const char* who, SessionNo session, unsigned number, unsigned size);
+std::string make_line(const char* who, SessionNo session, unsigned number, unsigned size);
 
 // A stream with a queue of what it has not taken yet.
-class Speaker {
+class BufferedWriter {
  public:
-  explicit Speaker(net::Stream& stream) : stream_(stream) {}
+  explicit BufferedWriter(net::Stream& stream) : stream_(stream) {}
   // False: the connection is broken.
   bool say(std::string_view text) {
     left_ += text;
--- a/src/lab/models/list_server.cpp
+++ b/src/lab/models/list_server.cpp
@@ -21,16 +21,16 @@
 
 }  // namespace
 
-std::string list_text(const ListModel& list, std::uint64_t since, Micros now) {
+std::string list_json(const ListModel& list, std::uint64_t since, Micros now) {
   nlohmann::json out{{"rev", list.version(now)}, {"all", since == 0}, {"targets", nlohmann::json::array()}};
-  for (const ListModel::Entry& e : list.since(since, now)) {
+  for (const ListModel::Entry& e : list.changes_since(since, now)) {
     out["targets"].push_back({{"uid", e.name},
                               {"endpoint", e.endpoint},
                               {"az", e.zone},
                               {"pod_group", e.cell},
-                              {"state", state_of(e.standing)},
-                              {"capacity_hint", e.share},
-                              {"boot_ms", e.started / 1ms}});
+                              {"state", state_of(e.status)},
+                              {"capacity_hint", e.capacity_hint},
+                              {"boot_ms", e.boot_time / 1ms}});
   }
   return out.dump();
 }
@@ -50,7 +50,7 @@
     c.asked = c.watch = c.slowed = false;
     c.out.clear();
     c.stream.adopt(next.socket, c);
-    if (mood_.down) {
+    if (mood_.unavailable) {
       c.stream.abort();
       free(c);
     } else {
@@ -70,13 +70,13 @@
     c.watch = head.find("since=") != head.npos;
     c.since = number_after(head, "since=", 0);
     c.until = timers_.now() + std::chrono::milliseconds(number_after(head, "timeout_ms=", 0));
-    c.slowed = mood_.slow == 0us && !mood_.turns_away;
-    if (mood_.turns_away)
-      timers_.schedule(*mood_.turns_away, *this, c.key.packed());
+    c.slowed = mood_.response_delay == 0us && !mood_.reject_after;
+    if (mood_.reject_after)
+      timers_.schedule(*mood_.reject_after, *this, c.key.packed());
     else if (c.slowed)
       look(c);
     else
-      timers_.schedule(mood_.slow, *this, c.key.packed());
+      timers_.schedule(mood_.response_delay, *this, c.key.packed());
     // Whoever has stopped waiting is told nothing.
     return c.stream.want_read();
   }
@@ -86,7 +86,7 @@
 
 void ListServer::look(Call& c) {
   if (!c.asked || !c.slowed) return;
-  if (mood_.turns_away) return turn_away(c);
+  if (mood_.reject_after) return turn_away(c);
   const Micros now = timers_.now();
   if (!c.watch || list_.version(now) != c.since || now >= c.until) return answer(c);
   const Micros change = list_.next_after(now);
@@ -97,7 +97,7 @@
   const Micros now = timers_.now();
   // A version that this service never gave is answered with all there is.
   const std::uint64_t since = c.watch && c.since <= list_.version(now) ? c.since : 0;
-  std::string body = list_text(list_, since, now);
+  std::string body = list_json(list_, since, now);
   if (mood_.malformed) body = body.substr(0, body.size() / 2);
   c.asked = false;
   const bool said = c.out.say("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
@@ -105,8 +105,8 @@
   if (said && !mood_.malformed) {
     c.written.clear();
     c.written_at = now;
-    for (const ListModel::Entry& e : list_.since(since, now)) {
-      if (e.standing == HostStatus::active)
+    for (const ListModel::Entry& e : list_.changes_since(since, now)) {
+      if (e.status == HostStatus::active)
         told_(e, now);
       else
         c.written.push_back(e);
@@ -135,13 +135,13 @@
   }
 }
 
-void ListServer::changed() {
+void ListServer::refresh() {
   std::vector<SlabKey> all;
   calls_.for_each([&](SlabKey key, Call&) { all.push_back(key); });
   for (const SlabKey key : all) {
     Call* const c = calls_.find(key);
     if (!c) continue;
-    if (mood_.down) {
+    if (mood_.unavailable) {
       c->stream.abort();
       free(*c);
     } else {
@@ -150,7 +150,7 @@
   }
 }
 
-void ListServer::close_all() {
+void ListServer::abort_all() {
   calls_.for_each([](SlabKey, Call& c) { c.stream.abort(); });
 }
 
--- a/src/lab/models/list_server.h
+++ b/src/lab/models/list_server.h
@@ -8,34 +8,34 @@
 #include <vector>
 
 #include "lab/checks/checker.h"
+#include "lab/models/line_io.h"
 #include "lab/models/list_model.h"
-#include "lab/models/talk.h"
 #include "net/timer_queue.h"
 #include "slab.h"
 
 namespace flintweir::lab {
 
 // How all acceptors of the service behave just now.
-struct ListMood {
-  bool down = false, malformed = false;
-  Micros slow{0};
-  std::optional<Micros> turns_away;  // each call is held for so long, then answered 503
+struct ListServiceState {
+  bool unavailable = false, malformed = false;
+  Micros response_delay{0};
+  std::optional<Micros> reject_after;  // each call is held for so long, then answered 503
 };
 
 // The list, or its changes since a version, in discovery's form.
-std::string list_text(const ListModel& list, std::uint64_t since, Micros now);
+std::string list_json(const ListModel& list, std::uint64_t since, Micros now);
 
 class ListServer final : net::AcceptEvents, net::TimerEvents {
  public:
   // Has been written out to the node at that time. Of a host that goes it is told a while later, where the
   // connection is still good.
   using Told = std::function<void(const ListModel::Entry&, Micros written)>;
-  ListServer(net::Network& network, const ListModel& list, const ListMood& mood, Told told)
+  ListServer(net::Network& network, const ListModel& list, const ListServiceState& mood, Told told)
       : sockets_(network, 4096), timers_(network), list_(list), mood_(mood), told_(std::move(told)) {}
 
   void serve(const Address& at);  // throws std::system_error
-  void changed();                 // the list, or how it behaves
-  void close_all();
+  void refresh();                 // the list, or how it behaves
+  void abort_all();
 
  private:
   struct Call final : net::StreamEvents {
@@ -47,7 +47,7 @@
     void broken(net::Stream&) override { server.free(*this); }
     ListServer& server;
     net::Stream stream;
-    Speaker out;
+    BufferedWriter out;
     SlabKey key;
     bool asked = false, watch = false, slowed = false;
     std::uint64_t since = 0;
@@ -67,7 +67,7 @@
   net::Sockets sockets_;
   net::TimerQueue timers_;
   const ListModel& list_;
-  const ListMood& mood_;
+  const ListServiceState& mood_;
   Told told_;
   Slab<Call> calls_;
 };
--- a/src/lab/models/client_peer.cpp
+++ b/src/lab/models/network_client.cpp
@@ -1,4 +1,4 @@
-#include "lab/models/client_peer.h"
+#include "lab/models/network_client.h"
 
 #include <algorithm>
 #include <charconv>
@@ -16,14 +16,14 @@
 
 }  // namespace
 
-void ClientPeer::begin() { wait(model_.begin()); }
+void NetworkClient::start() { wait(model_.begin()); }
 
-void ClientPeer::wait(Micros in) {
+void NetworkClient::wait(Micros in) {
   ++turn_;
   timers_.schedule(in, *this, token(Due::due));
 }
 
-void ClientPeer::come() {
+void NetworkClient::connect_now() {
   if (phase_ == Phase::idle && model_.wake(timers_.now())) {
     ++turn_;
     counted_ = false;
@@ -31,22 +31,22 @@
   }
 }
 
-void ClientPeer::ask() {
-  const auto way = entry_.way_in(zone_);
+void NetworkClient::ask() {
+  const auto way = entry_.choose_node(zone_);
   if (!way) return wait(kNoWay);
   node_ = way->node;
-  id_ = entry_.enter(model_.session());
+  id_ = entry_.register_session(model_.session());
   asked_told_ = moved_ = false;
   unanswered_.clear();
   last_took_ = 0us;
   said_ = 0;
   out_.clear();
-  if (!stream_.connect(way->at, *this)) return wait(kNoWay);
+  if (!stream_.connect(way->address, *this)) return wait(kNoWay);
   phase_ = Phase::connecting;
   timers_.schedule(model_.patience(), *this, token(Due::patience));
 }
 
-void ClientPeer::connected(net::Stream&, net::ConnectResult result) {
+void NetworkClient::connected(net::Stream&, net::ConnectResult result) {
   if (result != net::ConnectResult::established) {
     log_.line(timers_.now(), "unconnected node=n%u", node_.value);
     shut();
@@ -69,26 +69,26 @@
   stream_.want_read();
 }
 
-void ClientPeer::sent() {
+void NetworkClient::sent() {
   if (asked_told_ || !out_.all_out()) return;
   asked_told_ = true;
   asked_at_ = timers_.now();
   if (const auto leaves = model_.leaves_after()) timers_.schedule(*leaves, *this, token(Due::leave));
-  checker_.asked(id_, node_, machine_, model_.listener().rules, model_.patience(), asked_at_);
+  checker_.session_requested(id_, node_, machine_, model_.listener().rules, model_.patience(), asked_at_);
   log_.line(asked_at_, "asked session=%llx node=n%u client=%llx", hex(id_), node_.value,
             static_cast<unsigned long long>(model_.key()));
   if (std::exchange(counted_, true)) return;  // tries of one session count once
   ++entry_.tally().sessions;
-  ++entry_.second().sessions;
+  ++entry_.current_second().sessions;
 }
 
-void ClientPeer::writable(net::Stream&) {
+void NetworkClient::writable(net::Stream&) {
   if (!out_.flush()) return;  // its reading side tells of the end
   if (phase_ == Phase::asking) sent();
   if (phase_ == Phase::ending && out_.all_out()) stream_.shutdown_send();
 }
 
-void ClientPeer::input_ready(net::Stream&) {
+void NetworkClient::input_ready(net::Stream&) {
   const std::uint64_t turn = turn_;
   while (const auto line = stream_.input().line()) {
     const std::string_view text = net::trim_line_end(*line);
@@ -103,16 +103,16 @@
   stream_.want_read();
 }
 
-void ClientPeer::first(std::string_view line, std::size_t whole) {
+void NetworkClient::first(std::string_view line, std::size_t whole) {
   const Micros now = timers_.now();
   if (line.starts_with("UP ")) {
-    checker_.answered(id_, Checker::Answer::up, line.substr(3), now);
+    checker_.session_answered(id_, Checker::Answer::up, line.substr(3), now);
     log_.line(now, "up session=%llx receipt=%.*s", hex(id_), static_cast<int>(line.size() - 3),
               line.data() + 3);
     phase_ = Phase::open;
     model_.up();
     ++entry_.tally().accepted;
-    ++entry_.second().accepted;
+    ++entry_.current_second().accepted;
     entry_.tally().to_up.add(now - asked_at_);
     ++turn_;  // it is patient from now on
     timers_.schedule(std::max(model_.session().until - now, 0us), *this, token(Due::had));
@@ -124,10 +124,10 @@
   const bool busy = line.starts_with("BUSY");
   long long stated = 0;
   if (busy && line.size() > 5) std::from_chars(line.data() + 5, line.data() + line.size(), stated);
-  checker_.answered(id_, busy ? Checker::Answer::busy : Checker::Answer::err, {}, now);
+  checker_.session_answered(id_, busy ? Checker::Answer::busy : Checker::Answer::err, {}, now);
   log_.line(now, "%s session=%llx wait=%lld", busy ? "refused" : "torn-down", hex(id_), stated);
   ++(busy ? entry_.tally().refused : entry_.tally().torn_down);
-  ++(busy ? entry_.second().refused : entry_.second().torn_down);
+  ++(busy ? entry_.current_second().refused : entry_.current_second().torn_down);
   // More after the answer would be one answer too many: it listens until the node has closed.
   phase_ = Phase::ending;
   const Micros again = model_.not_accepted(now, std::chrono::milliseconds(stated));
@@ -135,10 +135,10 @@
   stream_.shutdown_send();
 }
 
-void ClientPeer::heard(std::string_view line) {
+void NetworkClient::heard(std::string_view line) {
   const Micros now = timers_.now();
   const bool is_move = line == "MOVE";
-  checker_.client_heard(id_, hash_of(line), is_move, now);
+  checker_.client_received_line(id_, hash_line(line), is_move, now);
   ++entry_.tally().lines;
   if (is_move) {
     moved_ = true;
@@ -149,25 +149,25 @@
   unanswered_.pop_front();
 }
 
-void ClientPeer::speak() {
+void NetworkClient::speak() {
   if (phase_ != Phase::open) return;
   const Micros now = timers_.now();
-  const std::string line = line_of("say", id_, ++said_, model_.line_size());
-  checker_.client_said(id_, hash_of(net::trim_line_end(line)), now);
+  const std::string line = make_line("say", id_, ++said_, model_.line_size());
+  checker_.client_sent_line(id_, hash_line(net::trim_line_end(line)), now);
   unanswered_.push_back(now);
   out_.say(line);
   timers_.schedule(plan_.speaks_every, *this, token(Due::speak));
 }
 
-bool ClientPeer::well(Micros now) const {
+bool NetworkClient::meets_message_target(Micros now) const {
   if (phase_ != Phase::open) return false;
   const Micros target = model_.listener().rules.message_target;
   return last_took_ <= target && (unanswered_.empty() || now - unanswered_.front() <= target);
 }
 
-void ClientPeer::broken(net::Stream&) { over(false); }
+void NetworkClient::broken(net::Stream&) { over(false); }
 
-void ClientPeer::shut() {
+void NetworkClient::shut() {
   ++turn_;
   phase_ = Phase::idle;
   out_.clear();
@@ -175,15 +175,15 @@
 }
 
 // The connection is over, by its own doing or another's.
-void ClientPeer::over(bool by_itself) {
+void NetworkClient::over(bool by_itself) {
   const Micros now = timers_.now();
   const Phase was = phase_;
   if (was == Phase::idle) return;
   if (asked_told_) {
     if (by_itself)
-      checker_.client_ends(id_, false, now);
+      checker_.client_closed(id_, false, now);
     else
-      checker_.client_sees_end(id_, now);
+      checker_.client_saw_close(id_, now);
   }
   // After a final answer the next try is under way already, and only the connection goes.
   if (was == Phase::ending) {
@@ -199,34 +199,34 @@
   if (was == Phase::open) {
     log_.line(now, "%s session=%llx", moved_ ? "moved" : "broken", hex(id_));
     ++(moved_ ? entry_.tally().moved : entry_.tally().broken);
-    ++(moved_ ? entry_.second().moved : entry_.second().broken);
+    ++(moved_ ? entry_.current_second().moved : entry_.current_second().broken);
     counted_ = true;
     return wait(model_.broken(now));
   }
   log_.line(now, "unanswered session=%llx", hex(id_));
   ++entry_.tally().unanswered;
-  ++entry_.second().unanswered;
+  ++entry_.current_second().unanswered;
   wait(model_.not_accepted(now, 0us));
 }
 
-bool ClientPeer::drop() {
+bool NetworkClient::drop_connection() {
   if (phase_ != Phase::open) return false;
   const Micros now = timers_.now();
   log_.line(now, "drops session=%llx", hex(id_));
-  checker_.client_ends(id_, false, now);
+  checker_.client_closed(id_, false, now);
   stream_.abort();
   shut();
   wait(model_.broken(now));
   return true;
 }
 
-void ClientPeer::timer_expired(std::uint64_t t) {
+void NetworkClient::timer_expired(std::uint64_t t) {
   if (t >> 3 != turn_) return;
   const Micros now = timers_.now();
   switch (static_cast<Due>(t & 7)) {
     case Due::due:
       if (phase_ != Phase::idle) {  // still listening after its answer
-        if (asked_told_) checker_.client_ends(id_, false, now);
+        if (asked_told_) checker_.client_closed(id_, false, now);
         shut();
       }
       if (model_.state() == ClientModel::State::resting) counted_ = false;
@@ -250,7 +250,7 @@
       // It has had what it wanted: its last words, then the end.
       log_.line(now, "had session=%llx", hex(id_));
       phase_ = Phase::ending;
-      checker_.client_ends(id_, true, now);
+      checker_.client_closed(id_, true, now);
       if (out_.all_out()) stream_.shutdown_send();
       return timers_.schedule(kLinger, *this, token(Due::linger));
     case Due::linger:
@@ -259,25 +259,26 @@
   }
 }
 
-void RudePeer::next() {
+void MisbehavingClient::next() {
   ++turn_;
   waiting_ = false;
   kind_ = static_cast<Kind>(chance_() % kinds);
   timers_.schedule(Micros{static_cast<std::int64_t>(chance_() % 900000)}, *this, turn_);
 }
 
-void RudePeer::timer_expired(std::uint64_t turn) {
+void MisbehavingClient::timer_expired(std::uint64_t turn) {
   if (turn != turn_) return;
   if (waiting_) {  // long past the limit
-    if (node_sound_(node_)) checker_.rude_waited(timers_.now() - began_, 20ms, "a bad client", timers_.now());
+    if (node_sound_(node_))
+      checker_.check_bad_client_wait(timers_.now() - began_, 20ms, "a bad client", timers_.now());
     return done();
   }
-  const auto way = entry_.way_in(zone_);
-  if (!way || !stream_.connect(way->at, *this)) return next();
+  const auto way = entry_.choose_node(zone_);
+  if (!way || !stream_.connect(way->address, *this)) return next();
   node_ = way->node;
 }
 
-void RudePeer::connected(net::Stream&, net::ConnectResult result) {
+void MisbehavingClient::connected(net::Stream&, net::ConnectResult result) {
   if (result != net::ConnectResult::established) return done();
   began_ = timers_.now();
   waiting_ = true;
@@ -313,7 +314,7 @@
   stream_.want_read();
 }
 
-void RudePeer::input_ready(net::Stream& s) {
+void MisbehavingClient::input_ready(net::Stream& s) {
   // An error or the end is what it is owed; answers to PING are neither.
   while (const auto line = s.input().line()) {
     const bool pong = line->starts_with("PONG");
@@ -324,9 +325,9 @@
   s.want_read();
 }
 
-void RudePeer::done() {
+void MisbehavingClient::done() {
   if (waiting_ && node_sound_(node_))
-    checker_.rude_waited(timers_.now() - began_, 20ms, "a bad client", timers_.now());
+    checker_.check_bad_client_wait(timers_.now() - began_, 20ms, "a bad client", timers_.now());
   out_.clear();
   stream_.close();
   next();
--- a/src/lab/models/client_peer.h
+++ b/src/lab/models/network_client.h
@@ -5,7 +5,7 @@
 
 #include "lab/checks/checker.h"
 #include "lab/models/client_model.h"
-#include "lab/models/talk.h"
+#include "lab/models/line_io.h"
 #include "lab/reports/event_log.h"
 #include "lab/reports/meter.h"
 #include "net/timer_queue.h"
@@ -13,25 +13,26 @@
 namespace flintweir::lab {
 
 // What a client needs of the world: a way in, and a place in the register.
-class EntryPoint {
+class ClientEnvironment {
  public:
-  struct Way {
+  struct Route {
     NodeNo node;
-    Address at;
+    Address address;
   };
-  virtual std::optional<Way> way_in(ZoneNo zone) = 0;
-  virtual SessionNo enter(const ClientModel::Session& session) = 0;
-  virtual Second& second() = 0;  // of the run that it is now
+  virtual std::optional<Route> choose_node(ZoneNo zone) = 0;
+  virtual SessionNo register_session(const ClientModel::Session& session) = 0;
+  virtual Second& current_second() = 0;  // of the run that it is now
   virtual Tally& tally() = 0;
 
  protected:
-  ~EntryPoint() = default;
+  ~ClientEnvironment() = default;
 };
 
-class ClientPeer final : net::StreamEvents, net::TimerEvents {
+class NetworkClient final : net::StreamEvents, net::TimerEvents {
  public:
-  ClientPeer(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone,
-             ClientModel model, EntryPoint& entry, Checker& checker, EventLog& log, const TrafficPlan& plan)
+  NetworkClient(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone,
+                ClientModel model, ClientEnvironment& entry, Checker& checker, EventLog& log,
+                const TrafficPlan& plan)
       : stream_(sockets),
         out_(stream_),
         timers_(timers),
@@ -43,14 +44,14 @@
         log_(log),
         plan_(plan) {}
 
-  void begin();
-  void come();  // at once, if it rests
-  bool drop();  // breaks its connection, if it has one, and comes again
+  void start();
+  void connect_now();      // at once, if it rests
+  bool drop_connection();  // breaks its connection, if it has one, and comes again
   void stop() { stream_.close(); }
   bool wants(Micros now) const { return model_.wants(now); }
   double utility() const { return model_.listener().rules.utility; }
   // Whether its connection does what it is for.
-  bool well(Micros now) const;
+  bool meets_message_target(Micros now) const;
 
  private:
   enum class Phase { idle, connecting, asking, open, ending };
@@ -71,12 +72,12 @@
   void shut();  // closes, and forgets what is due
 
   net::Stream stream_;
-  Speaker out_;
+  BufferedWriter out_;
   net::TimerQueue& timers_;
   MachineNo machine_;
   ZoneNo zone_;
   ClientModel model_;
-  EntryPoint& entry_;
+  ClientEnvironment& entry_;
   Checker& checker_;
   EventLog& log_;
   const TrafficPlan& plan_;
@@ -91,10 +92,11 @@
 };
 
 // How clients break the protocol, one kind after the other.
-class RudePeer final : net::StreamEvents, net::TimerEvents {
+class MisbehavingClient final : net::StreamEvents, net::TimerEvents {
  public:
-  RudePeer(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone, EntryPoint& entry,
-           std::function<bool(NodeNo)> node_sound, Checker& checker, EventLog& log, std::uint64_t seed)
+  MisbehavingClient(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone,
+                    ClientEnvironment& entry, std::function<bool(NodeNo)> node_sound, Checker& checker,
+                    EventLog& log, std::uint64_t seed)
       : stream_(sockets),
         out_(stream_),
         timers_(timers),
@@ -105,7 +107,7 @@
         checker_(checker),
         log_(log),
         chance_(static_cast<std::knuth_b::result_type>(seed | 1)) {}
-  void begin() { next(); }
+  void start() { next(); }
   void stop() { stream_.close(); }
 
  private:
@@ -119,11 +121,11 @@
   void done();
 
   net::Stream stream_;
-  Speaker out_;
+  BufferedWriter out_;
   net::TimerQueue& timers_;
   MachineNo machine_;
   ZoneNo zone_;
-  EntryPoint& entry_;
+  ClientEnvironment& entry_;
   std::function<bool(NodeNo)> node_sound_;
   Checker& checker_;
   EventLog& log_;
--- a/src/lab/models/front_peer.h
+++ b/src/lab/models/node_health_check.h
@@ -8,12 +8,13 @@
 
 namespace flintweir::lab {
 
-class FrontPeer final : net::StreamEvents, net::TimerEvents {
+class NodeHealthCheck final : net::StreamEvents, net::TimerEvents {
  public:
-  FrontPeer(net::Sockets& sockets, net::TimerQueue& timers, Micros every, std::function<void(bool)> told)
+  NodeHealthCheck(net::Sockets& sockets, net::TimerQueue& timers, Micros every,
+                  std::function<void(bool)> told)
       : stream_(sockets), timers_(timers), every_(every), told_(std::move(told)) {}
 
-  void begin(const Address& at) {
+  void start(const Address& at) {
     at_ = at;
     check();
   }
--- a/src/lab/network/loopback_stage.h
+++ b/src/lab/network/loopback_stage.h
@@ -33,8 +33,8 @@
   bool running(NodeNo node) override;
 
   // A busy machine is late, also where the network is not.
-  Micros longest(MachineNo, MachineNo) const override { return std::chrono::milliseconds(10); }
-  bool sound(MachineNo, MachineNo, Micros) const override { return true; }
+  Micros max_delay(MachineNo, MachineNo) const override { return std::chrono::milliseconds(10); }
+  bool healthy_since(MachineNo, MachineNo, Micros) const override { return true; }
 
  private:
   std::string file(NodeNo node) const;
--- a/src/lab/network/stage.h
+++ b/src/lab/network/stage.h
@@ -12,7 +12,7 @@
 
 namespace flintweir::lab {
 
-class Stage : public Paths {
+class Stage : public NetworkPaths {
  public:
   virtual ~Stage() = default;
   virtual Micros now() const = 0;
--- a/src/lab/network/virtual_stage.cpp
+++ b/src/lab/network/virtual_stage.cpp
@@ -123,12 +123,12 @@
   fabric_.ease(a, b);
 }
 
-Micros VirtualStage::longest(MachineNo a, MachineNo b) const {
+Micros VirtualStage::max_delay(MachineNo a, MachineNo b) const {
   const double most = static_cast<double>(fabric_.latency(a, b).count()) * (1 + carriage_.jitter);
   return Micros{static_cast<std::int64_t>(most) + 1};
 }
 
-bool VirtualStage::sound(MachineNo a, MachineNo b, Micros since) const {
+bool VirtualStage::healthy_since(MachineNo a, MachineNo b, Micros since) const {
   if (a == b) return true;
   Micros until = std::max(lost_until_[a.value], lost_until_[b.value]);
   const std::uint32_t x = zones_[a.value].value, y = zones_[b.value].value;
--- a/src/lab/network/virtual_stage.h
+++ b/src/lab/network/virtual_stage.h
@@ -38,8 +38,8 @@
   void worsen(MachineNo a, MachineNo b, Micros longer, double lost) override;
   void ease(MachineNo a, MachineNo b) override;
 
-  Micros longest(MachineNo a, MachineNo b) const override;
-  bool sound(MachineNo a, MachineNo b, Micros since) const override;
+  Micros max_delay(MachineNo a, MachineNo b) const override;
+  bool healthy_since(MachineNo a, MachineNo b, Micros since) const override;
 
   std::uint64_t steps() const { return timeline_.done(); }
 
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -46,7 +46,7 @@
 Ran run_virtual(const Experiment& e, std::uint64_t seed, Keep keep,
                 const std::optional<std::set<std::size_t>>& only) {
   return timed(seed, [&](Ran& out) {
-    VirtualStage stage(e.carriage, part_seed(seed, 9), e.node.sockets, balancer_named(e.node.balancer),
+    VirtualStage stage(e.carriage, part_seed(seed, 9), e.node.sockets, balancer_factory(e.node.balancer),
                        keep.node_log ? &out.node_log : nullptr);
     World world(e, stage, seed, faults_of(e, seed, only), keep.events);
     out.outcome = world.play();
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -63,11 +63,11 @@
   for (auto& r : rude_) r->stop();
   for (NodeUnit& n : nodes_) {
     if (n.front) n.front->stop();
-    if (n.list) n.list->close_all();
+    if (n.list) n.list->abort_all();
     stage_.kill_node(n.no);
   }
   for (HostUnit& h : hosts_)
-    if (h.server) h.server->die();
+    if (h.server) h.server->abort_all();
 }
 
 Micros World::between(const Micros (&range)[2]) {
@@ -137,19 +137,19 @@
     start_node(n);
     // Checked from the zone that it serves.
     Crowd& crowd = crowds_[n.zone.value];
-    n.front = std::make_unique<FrontPeer>(
+    n.front = std::make_unique<NodeHealthCheck>(
         *crowd.sockets, *crowd.timers, experiment_.front.check_every, [this, no = n.no](bool answered) {
-          if (answered && !nodes_[no.value].leaving) return front_.check_answered(no);
+          if (answered && !nodes_[no.value].leaving) return front_.check_succeeded(no);
           if (!answered) front_.check_failed(no, now(), between(experiment_.front.notices));
         });
-    n.front->begin(stage_.address(n.machine));
+    n.front->start(stage_.address(n.machine));
   }
   const TrafficPlan& traffic = experiment_.traffic;
-  EntryPoint& entry = *this;
+  ClientEnvironment& entry = *this;
   for (unsigned i = 0; i < traffic.clients; ++i) {
     const ZoneNo zone{i % zones};
     const std::uint64_t group = traffic.groups ? 1 + part_seed(seed_, 3, i) % traffic.groups : 0;
-    clients_.push_back(std::make_unique<ClientPeer>(
+    clients_.push_back(std::make_unique<NetworkClient>(
         *crowds_[zone.value].sockets, *crowds_[zone.value].timers, crowds_[zone.value].machine, zone,
         ClientModel(traffic, part_seed(seed_, 4, i) | 1, group, part_seed(seed_, 5, i)), entry, checker_,
         log_, traffic));
@@ -157,11 +157,11 @@
   for (unsigned i = 0; i < traffic.rude; ++i) {
     const ZoneNo zone{i % zones};
     const MachineNo machine = crowds_[zone.value].machine;
-    rude_.push_back(std::make_unique<RudePeer>(
+    rude_.push_back(std::make_unique<MisbehavingClient>(
         *crowds_[zone.value].sockets, *crowds_[zone.value].timers, machine, zone, entry,
         [this, machine](NodeNo no) {
           const NodeUnit& n = nodes_[no.value];
-          return n.up && stage_.sound(machine, n.machine, now() - 5s);
+          return n.up && stage_.healthy_since(machine, n.machine, now() - 5s);
         },
         checker_, log_, part_seed(seed_, 6, i)));
   }
@@ -171,14 +171,14 @@
   h.network = &stage_.begin(h.machine);
   h.model->start(now(), cold);
   ++h.turn;
-  const Register& known = *this;
+  const SessionRegistry& known = *this;
   h.server = std::make_unique<HostServer>(*h.network, *h.model, h.no, h.name, known, checker_, log_,
                                           experiment_.host, experiment_.traffic, experiment_.cold.tip_after,
                                           part_seed(seed_, 7, h.no.value + 7919 * h.turn));
   h.server->serve(stage_.address(h.machine));
   h.up = true;
   h.lost = h.leaving = false;
-  checker_.host_up(h.no, h.machine, h.name, h.zone, h.cell, h.model->started());
+  checker_.host_up(h.no, h.machine, h.name, h.zone, h.cell, h.model->boot_time());
   log_.line(now(), "host-up host=%s cold=%d", h.name.c_str(), cold);
 }
 
@@ -187,20 +187,20 @@
   h.up = false;
   ++h.turn;
   checker_.host_down(h.no, now());
-  h.server->die();
+  h.server->abort_all();
   stage_.end(*h.network);
   h.server.reset();
   log_.line(now(), "host-down host=%s", h.name.c_str());
 }
 
 void World::list_host(const HostUnit& h, HostStatus standing, Micros late) {
-  list_.change({h.name, to_text(stage_.address(h.machine)), experiment_.fleet.zones[h.zone.value],
-                h.cell.value, h.share, standing, h.model->started()},
-               now() + late);
+  list_.add_change({h.name, to_text(stage_.address(h.machine)), experiment_.fleet.zones[h.zone.value],
+                    h.cell.value, h.share, standing, h.model->boot_time()},
+                   now() + late);
   // Whoever watches hears of it when it is known; a look at that time is enough.
   if (late > 0us)
     for (NodeUnit& n : nodes_)
-      if (n.list) n.list->changed();
+      if (n.list) n.list->refresh();
 }
 
 void World::serve_list(NodeUnit& n) {
@@ -210,7 +210,7 @@
       *n.list_network, list_, mood_, [this, no = n.no](const ListModel::Entry& e, Micros written) {
         const NodeUnit& node = nodes_[no.value];
         if (!node.up || node.lost) return;
-        checker_.told(no, node.list_machine, host_of(e), e.standing, e.started, written);
+        checker_.host_listed(no, node.list_machine, host_of(e), e.status, e.boot_time, written);
       });
   n.list->serve(stage_.address(n.list_machine));
 }
@@ -268,7 +268,7 @@
                         {"discovery", to_text(stage_.address(n.list_machine))},
                         {"seed", seed},
                         {"limits", {{"memory_mb", plan.memory_mb}, {"sockets", plan.sockets}}},
-                        {"known", nlohmann::json::parse(list_text(list_, 0, now()))},
+                        {"known", nlohmann::json::parse(list_json(list_, 0, now()))},
                         {"settings", settings}}
       .dump();
 }
@@ -280,8 +280,8 @@
   n.lost = n.leaving = false;
   checker_.node_up(n.no, n.machine);
   // What it knows from its start on, as if discovery had just told it.
-  for (const ListModel::Entry& e : list_.since(0, now()))
-    checker_.told(n.no, n.machine, host_of(e), e.standing, e.started, now());
+  for (const ListModel::Entry& e : list_.changes_since(0, now()))
+    checker_.host_listed(n.no, n.machine, host_of(e), e.status, e.boot_time, now());
   std::vector<MachineNo> seeds;
   if (experiment_.node.fleet) {
     seeds.push_back(nodes_.front().machine);
@@ -310,23 +310,23 @@
   });
 }
 
-std::optional<EntryPoint::Way> World::way_in(ZoneNo zone) {
+std::optional<ClientEnvironment::Route> World::choose_node(ZoneNo zone) {
   const auto n = front_.choose(zone, now());
   if (!n) return std::nullopt;
   if (nodes_[n->value].zone != zone) ++out_.tally.crossed;
-  return Way{*n, stage_.address(nodes_[n->value].machine)};
+  return Route{*n, stage_.address(nodes_[n->value].machine)};
 }
 
-SessionNo World::enter(const ClientModel::Session& session) {
+SessionNo World::register_session(const ClientModel::Session& session) {
   asked_.push_back({session.load, session.group});
   return {asked_.size()};
 }
 
-const Asked* World::asked(SessionNo id) const {
+const SessionLoad* World::find_session(SessionNo id) const {
   return id.value >= 1 && id.value <= asked_.size() ? &asked_[id.value - 1] : nullptr;
 }
 
-Second& World::second() {
+Second& World::current_second() {
   const auto no = static_cast<std::size_t>(std::max(since_start(), 0us) / 1s);
   if (out_.seconds.size() <= no) out_.seconds.resize(no + 1);
   return out_.seconds[no];
@@ -384,12 +384,12 @@
 
 void World::list_mood() {
   const bool stale = list_trouble_[3] > 0;
-  mood_.down = list_trouble_[0] > 0;
+  mood_.unavailable = list_trouble_[0] > 0;
   mood_.malformed = list_trouble_[1] > 0;
-  if (list_trouble_[2] == 0) mood_.slow = 0us;
-  if (list_trouble_[4] == 0) mood_.turns_away.reset();
-  if (!stale) list_.thaw();
-  for (NodeUnit& n : nodes_) n.list->changed();
+  if (list_trouble_[2] == 0) mood_.response_delay = 0us;
+  if (list_trouble_[4] == 0) mood_.reject_after.reset();
+  if (!stale) list_.unfreeze();
+  for (NodeUnit& n : nodes_) n.list->refresh();
 }
 
 // Drained, then ended, then started again cold.
@@ -430,14 +430,14 @@
       checker_.host_silent(h->no, true, now());
       list_host(*h, HostStatus::removed, 3 * experiment_.list.late[1]);
     } else if (f.kind == "host-hangs") {
-      h->model->hang(true);
+      h->model->set_hanging(true);
       checker_.host_silent(h->no, true, now());
     } else if (f.kind == "host-half-dead") {
-      h->model->half_dead(true);
+      h->model->set_half_dead(true);
     } else if (f.kind == "host-errs") {
-      h->model->err(f.size);
+      h->model->set_error_share(f.size);
     } else if (f.kind == "host-slow") {
-      h->model->slow(now(), std::clamp(f.size, 0.01, 1.0));
+      h->model->set_speed(now(), std::clamp(f.size, 0.01, 1.0));
     } else if (f.kind == "host-flaps") {
       const Micros turn_lasts{std::max<std::int64_t>(std::llround(f.size * 1e6), 1000)};
       for (Micros in{0}; in < f.lasts; in += turn_lasts)
@@ -446,7 +446,7 @@
         });
       return;
     } else if (f.kind == "host-resets") {
-      h->model->reset(f.size);
+      h->model->set_reset_share(f.size);
     }
     turn = h->turn;
   } else if (f.kind == "hosts-deploy") {
@@ -482,15 +482,15 @@
     for (const auto& c : clients_) {
       if (uniform() >= f.share) continue;
       if (f.kind == "clients-drop")
-        c->drop();
+        c->drop_connection();
       else
-        c->come();
+        c->connect_now();
     }
     return;
   } else if (f.kind == "list-moves") {
-    deadlines_.moved(now());
+    deadlines_.discovery_moved(now());
     for (NodeUnit& each : nodes_) {
-      each.list->close_all();
+      each.list->abort_all();
       stage_.end(*each.list_network);
       each.list.reset();
       serve_list(each);
@@ -499,8 +499,8 @@
     return;
   } else {
     if (unsigned* lasting = list_trouble(f.kind)) ++*lasting;
-    if (f.kind == "list-slow") mood_.slow = Micros{static_cast<std::int64_t>(f.size * 1e6)};
-    if (f.kind == "list-turns-away") mood_.turns_away = Micros{static_cast<std::int64_t>(f.size * 1e6)};
+    if (f.kind == "list-slow") mood_.response_delay = Micros{static_cast<std::int64_t>(f.size * 1e6)};
+    if (f.kind == "list-turns-away") mood_.reject_after = Micros{static_cast<std::int64_t>(f.size * 1e6)};
     if (f.kind == "list-stale") list_.freeze(now());
     list_mood();
   }
@@ -522,16 +522,16 @@
       return list_host(h, HostStatus::active, between(experiment_.list.late));
     }
     if (f.kind == "host-hangs") {
-      h.model->hang(false);
+      h.model->set_hanging(false);
       if (!h.model->hanging()) {
         checker_.host_silent(h.no, false, now());
         h.server->resume();
       }
     }
-    if (f.kind == "host-half-dead") h.model->half_dead(false);
-    if (f.kind == "host-errs") h.model->err(0);
-    if (f.kind == "host-slow") h.model->slow(now(), 1);
-    if (f.kind == "host-resets") h.model->reset(0);
+    if (f.kind == "host-half-dead") h.model->set_half_dead(false);
+    if (f.kind == "host-errs") h.model->set_error_share(0);
+    if (f.kind == "host-slow") h.model->set_speed(now(), 1);
+    if (f.kind == "host-resets") h.model->set_reset_share(0);
     return;
   }
   if (f.kind.starts_with("node-")) {
@@ -551,32 +551,32 @@
 
 // What no node has heard of counts as told all the same, once discovery could be asked for it.
 void World::count_as_told() {
-  deadlines_.look(list_, !mood_.down && !mood_.turns_away, now());
-  for (const ChangeDeadlines::Due& change : deadlines_.due(now()))
+  deadlines_.update(list_, !mood_.unavailable && !mood_.reject_after, now());
+  for (const ChangeDeadlines::Change& change : deadlines_.take_due(now()))
     for (const NodeUnit& n : nodes_)
       if (n.up && !n.lost)
-        checker_.counts_as_told(n.no, n.list_machine, host_of(change.entry), change.entry.standing,
-                                change.had, change.told_at);
+        checker_.host_listing_due(n.no, n.list_machine, host_of(change.entry), change.entry.status,
+                                  change.published_at, change.deadline);
 }
 
 void World::tick() {
-  checker_.scan(now());
+  checker_.check_overdue(now());
   count_as_told();
-  Second& s = second();
+  Second& s = current_second();
   const double part = seconds(kTick);
   for (const auto& c : clients_) {
     if (!c->wants(now())) continue;
     s.asked += c->utility() * part;
-    if (c->well(now())) s.served += c->utility() * part;
+    if (c->meets_message_target(now())) s.served += c->utility() * part;
   }
   if (s.loads.empty()) {
     double cold = 0, warm = 0, colds = 0, warms = 0;
     for (const HostUnit& h : hosts_) {
       const bool serves = h.up && !h.lost && !h.leaving;
-      s.loads.push_back(h.up && !h.lost ? h.model->asked() : -1);
+      s.loads.push_back(h.up && !h.lost ? h.model->utilization() : -1);
       if (!serves) continue;
-      const bool is_cold = h.model->cold(now());
-      (is_cold ? cold : warm) += h.model->asked();
+      const bool is_cold = h.model->is_cold(now());
+      (is_cold ? cold : warm) += h.model->utilization();
       ++(is_cold ? colds : warms);
     }
     if (colds > 0 && warm > 0)
@@ -586,8 +586,8 @@
 }
 
 Outcome World::play() {
-  for (const auto& c : clients_) c->begin();
-  for (const auto& r : rude_) r->begin();
+  for (const auto& c : clients_) c->start();
+  for (const auto& r : rude_) r->start();
   for (const Fault& f : faults_) stage_.at(start_ + f.at, [this, f] { begin(f); });
   stage_.at(start_ + kTick, [this] { tick(); });
   stage_.run_until(start_ + experiment_.lasts);
--- a/src/lab/world.h
+++ b/src/lab/world.h
@@ -7,10 +7,10 @@
 
 #include "lab/checks/change_deadlines.h"
 #include "lab/faults/faults.h"
-#include "lab/models/client_peer.h"
-#include "lab/models/front_peer.h"
 #include "lab/models/host_server.h"
 #include "lab/models/list_server.h"
+#include "lab/models/network_client.h"
+#include "lab/models/node_health_check.h"
 #include "lab/network/stage.h"
 #include "lab/reports/event_log.h"
 #include "lab/reports/meter.h"
@@ -31,7 +31,7 @@
   std::string log;  // where it was to be kept
 };
 
-class World final : EntryPoint, Register {
+class World final : ClientEnvironment, SessionRegistry {
  public:
   // `faults` as drawn, or a part of them.
   World(const Experiment& experiment, Stage& stage, std::uint64_t seed, const std::vector<Fault>& faults,
@@ -60,7 +60,7 @@
     std::uint64_t seed = 0, turn = 0;
     net::Network* list_network = nullptr;
     std::unique_ptr<ListServer> list;
-    std::unique_ptr<FrontPeer> front;
+    std::unique_ptr<NodeHealthCheck> front;
     bool up = false, lost = false, leaving = false;
   };
   struct Crowd {  // the clients of a zone, on a machine of their own
@@ -69,11 +69,11 @@
     std::unique_ptr<net::TimerQueue> timers;
   };
 
-  std::optional<Way> way_in(ZoneNo zone) override;
-  SessionNo enter(const ClientModel::Session& session) override;
-  Second& second() override;
+  std::optional<Route> choose_node(ZoneNo zone) override;
+  SessionNo register_session(const ClientModel::Session& session) override;
+  Second& current_second() override;
   Tally& tally() override { return out_.tally; }
-  const Asked* asked(SessionNo id) const override;
+  const SessionLoad* find_session(SessionNo id) const override;
 
   Micros now() const { return stage_.now(); }
   Micros since_start() const { return now() - start_; }
@@ -110,7 +110,7 @@
   Outcome out_;
   Checker checker_;
   ListModel list_{1};
-  ListMood mood_;
+  ListServiceState mood_;
   ChangeDeadlines deadlines_{1};
   unsigned list_trouble_[5]{};  // how many faults of each kind last, as list_trouble() orders them
   std::vector<HostUnit> hosts_;
@@ -118,9 +118,9 @@
   std::vector<Crowd> crowds_;  // by zone
   Crowd fronts_;
   FrontModel front_;
-  std::vector<std::unique_ptr<ClientPeer>> clients_;
-  std::vector<std::unique_ptr<RudePeer>> rude_;
-  std::vector<Asked> asked_;  // by number, from one
+  std::vector<std::unique_ptr<NetworkClient>> clients_;
+  std::vector<std::unique_ptr<MisbehavingClient>> rude_;
+  std::vector<SessionLoad> asked_;  // by number, from one
   std::map<std::pair<std::uint32_t, std::uint32_t>, unsigned> cuts_;
   std::map<std::pair<std::uint32_t, std::uint32_t>, unsigned> worse_;  // ways between a node and a host
 };
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -402,7 +402,7 @@
   const std::vector<Interleaving> all = all_interleavings();
   std::size_t played = 0;
   for (std::size_t i = 0; i<all.size(); i += FLINTWEIR_LAB_SEEDS> 1 ? 1 : 9, ++played)
-    for (const std::string& what : play(all[i])) ADD_FAILURE() << to_text(all[i]) << ": " << what;
+    for (const std::string& what : run_interleaving(all[i])) ADD_FAILURE() << to_text(all[i]) << ": " << what;
   EXPECT_GT(played, 400u);
 }
 
