--- a/src/members/view.cpp
+++ b/src/members/view.cpp
@@ -18,85 +18,90 @@
 
 using namespace std::chrono_literals;
 
-// Ratios to the interval between two probes.
-constexpr int kLeastDoubt = 4;   // a suspicion that enough others share stands so long before the verdict
-constexpr int kDoubtSpread = 6;  // and one that nobody shares, so many times that
-constexpr int kGossipParts = 3;  // gossip goes out so often in an interval while there is any
-constexpr int kDeadAsked = 4;    // one of the dead is asked in so many intervals
-constexpr int kSeedFirst = 1, kSeedMost = 8;  // pauses between two rounds of the seeds, jittered
-constexpr int kJoinAlone = 7;    // seeds that are silent for so long: this node is the first of its fleet
-constexpr int kClaimWaits = 5;   // whoever holds this node's name and runs has answered by then
-constexpr int kLeftKept = 200;   // those that left are remembered so long, longer than a datagram travels
-constexpr int kLongestTrip = 4;  // a round trip of that is still waited for
-constexpr int kPardon = 10;      // whoever was called failed by a node cut off has answered by then
-constexpr int kLearnsDead = 40;  // after it joined a node takes in those that others call failed
-// Numbers of others.
-constexpr std::size_t kHelpers = 3;   // asked to try where a member does not answer
-constexpr std::size_t kSharers = 3;   // accusers beside the first that make a verdict quick
-constexpr double kLookers = 6;        // members that look for themselves at once when they hear a suspicion
-constexpr std::size_t kGossipTo = 3;  // members that a round of gossip goes to
-constexpr int kSpreadLeast = 3;  // each word is sent so often, and once more for each doubling of the fleet
-constexpr std::size_t kWordsAtMost = 40;  // more never fit into one datagram
-constexpr int kNewcomer = 10;             // intervals that one is new for
-constexpr std::size_t kIntroduced = 4;    // others that a newcomer is told of
-constexpr int kMostHealth = 4;  // of one's own bad health: intervals and waits grow by as many times
-constexpr std::size_t kSyncDatagrams = 4;  // of words, in answer to one digest
-constexpr std::size_t kMostHelped = 64;    // questions on others' behalf that are out at a time
-// A node's bytes a second; a burst may take as much as that at once. What must be answered goes first.
-constexpr double kBytesPerSecond = 64 << 10, kBytesKept = 16 << 10;
-
-enum class Due : std::uint64_t {
+// Durations, in multiples of the interval between two probes.
+constexpr int kMinSuspicionIntervals = 4;  // from suspicion to failure, when enough other members confirm it
+constexpr int kMaxSuspicionFactor = 6;     // an unconfirmed suspicion lasts this many times the minimum
+constexpr int kMinSeedRetryIntervals = 1, kMaxSeedRetryIntervals = 8;
+constexpr int kJoinTimeoutIntervals = 7;      // with no answer from a seed, the node starts a new fleet
+constexpr int kClaimTimeoutIntervals = 5;     // in which a running process of the same name answers a claim
+constexpr int kLeftRetentionIntervals = 200;  // longer than a delayed datagram can be in transit
+constexpr int kMaxRoundTripIntervals = 4;     // upper limit of the timeout derived from round-trip times
+constexpr int kRecheckIntervals = 10;         // in which members wrongly marked as failed answer a ping
+constexpr int kLearnFailedIntervals = 40;     // after joining, failed members unknown so far are still added
+constexpr int kFailedPingIntervals = 4;       // between pings of a randomly chosen failed member
+constexpr int kNewcomerIntervals = 10;        // for which a member counts as new
+constexpr int kLateAckIntervals = 32;         // acks this late still update the round-trip times
+
+constexpr int kGossipRoundsPerInterval = 3;         // while updates are queued
+constexpr std::size_t kGossipFanout = 3;            // members per gossip round
+constexpr int kMinTransmits = 3;                    // per update, plus one per doubling of the fleet size
+constexpr std::size_t kMaxUpdatesPerDatagram = 40;  // no more than this fit
+constexpr std::size_t kMaxSyncDatagrams = 4;        // in reply to one sync digest
+constexpr std::size_t kWelcomeMembers = 4;          // other members that a newcomer is told about
+
+constexpr std::size_t kIndirectProbes = 3;      // members asked to ping a member that does not answer
+constexpr std::size_t kMaxIndirectProbes = 64;  // pending at a time on behalf of others
+constexpr std::size_t kMaxConfirmations = 3;    // of a suspicion, beside the first report
+constexpr double kVerifiersPerSuspicion = 6;  // members, on average, that probe a newly suspected one at once
+constexpr int kMaxHealthPenalty = 4;          // added to the multiplier of probe intervals and timeouts
+
+// Token bucket that limits the bytes sent; replies that a member waits for have priority.
+constexpr double kSendBytesPerSecond = 64 << 10, kSendBurstBytes = 16 << 10;
+
+enum class Timer : std::uint64_t {
   probe = 1,
-  direct,
-  round_over,
+  direct_timeout,
+  probe_timeout,
   gossip,
-  doubts,
-  dead,
+  suspicions,
+  failed_members,
   seeds,
-  alone,
-  claimed,
-  helped
+  join_timeout,
+  claim_timeout,
+  indirect_timeout
 };
 
-TimerId wake_id(Due due, std::uint64_t turn) { return TimerId{static_cast<std::uint64_t>(due) << 56 | turn}; }
+TimerId timer_id(Timer timer, std::uint64_t seq) {
+  return TimerId{static_cast<std::uint64_t>(timer) << 56 | seq};
+}
 
 }  // namespace
 
 class View::Impl final : DatagramHandler {
  public:
   Impl(ViewDelegate& delegate, std::string fleet, std::string name, Generation generation,
-       const Address& told, std::string zone, std::string version, std::vector<Address> seeds,
+       const Address& advertised, std::string zone, std::string version, std::vector<Address> seeds,
        Micros interval, Micros forget, std::size_t most, std::uint64_t seed)
       : delegate_(delegate),
         fleet_(std::move(fleet)),
         name_(std::move(name)),
         interval_(interval),
         forget_(forget),
-        most_(most),
-        chance_(static_cast<std::knuth_b::result_type>(seed | 1)) {
-    Member& me = members_.try_emplace(name_).first->second.facts;
+        max_members_(most),
+        rng_(static_cast<std::knuth_b::result_type>(seed | 1)) {
+    Member& me = members_.try_emplace(name_).first->second.member;
     me.generation = generation;
     me.state = MemberState::joining;
-    me.address = told;
+    me.address = advertised;
     me.zone = std::move(zone);
     me.version = std::move(version);
     me.reported_by = name_;
     this->set_seeds(std::move(seeds));
-    // A restart's questions are not those of the process before it.
-    nonces_ = mix(seed ^ generation.value) >> 9;
+    // Nonces must differ from those of an earlier process of the same name.
+    last_nonce_ = mix(seed ^ generation.value) >> 9;
   }
 
   void pick_members(std::size_t near, std::size_t far, std::vector<Address>& to) {
-    const std::string& zone = members_.at(name_).facts.zone;
+    const std::string& zone = members_.at(name_).member.zone;
     std::vector<Address> of_near, of_far;
-    // Where zones are few, a few tries find a member of each kind.
+    // With few zones, a small number of attempts finds members both inside and outside this node's zone.
     std::set<std::size_t> drawn;
-    for (std::size_t i = 0; !order_.empty() && i < 8 * (near + far); ++i) {
-      const std::size_t no = below(order_.size());
+    for (std::size_t i = 0; !probe_order_.empty() && i < 8 * (near + far); ++i) {
+      const std::size_t no = random_index(probe_order_.size());
       if (!drawn.insert(no).second) continue;
-      const auto it = members_.find(order_[no]);
-      if (it == members_.end() || !reachable(it->first, it->second)) continue;
-      (it->second.facts.zone == zone ? of_near : of_far).push_back(it->second.facts.address);
+      const auto it = members_.find(probe_order_[no]);
+      if (it == members_.end() || !is_active_peer(it->first, it->second)) continue;
+      (it->second.member.zone == zone ? of_near : of_far).push_back(it->second.member.address);
     }
     const std::size_t far_most = near > 0 && of_near.empty() ? near + far : far,
                       near_most = far > 0 && of_far.empty() ? near + far : near;
@@ -108,93 +113,95 @@
 
   void set_time(Micros now) {
     now_ = std::max(now, now_);
-    // Guards against a process that was stopped and accuses others of its own silence: all that was out is
-    // forgotten, and every doubt begins anew.
-    if (due_ != Micros::max() && now_ > due_ + interval_ / 2) paused(now_ - due_);
+    // Guards against a process that was stopped and then blames others for missing acks: pending probes are
+    // dropped and suspicions get the lost time back.
+    if (probe_due_at_ != Micros::max() && now_ > probe_due_at_ + interval_ / 2)
+      process_paused(now_ - probe_due_at_);
   }
 
   void start() {
-    began_ = now_;
+    started_at_ = now_;
     me().since = now_;
-    refill_at_ = now_;
-    wake(jittered(interval_, 0.5), Due::probe);
-    wake(jittered(interval_ * kDeadAsked, 0.5), Due::dead);
+    refilled_at_ = now_;
+    set_timer(jittered(interval_, 0.5), Timer::probe);
+    set_timer(jittered(interval_ * kFailedPingIntervals, 0.5), Timer::failed_members);
     if (seeds_.empty()) return join("no seeds");
-    ask_seeds();
-    wake(interval_ * kJoinAlone, Due::alone);
+    ping_seeds();
+    set_timer(interval_ * kJoinTimeoutIntervals, Timer::join_timeout);
   }
 
   void received(const Address& from, std::string_view bytes) {
     ++counters_.received;
-    came_from_ = from;
-    doubted_ = false;
-    tick();
-    if (const DecodeError wrong = decode(bytes, fleet_, *this); wrong != DecodeError::none) {
-      ++counters_.decode_errors[static_cast<std::size_t>(wrong)];
-      complain(wrong);
+    source_ = from;
+    self_mentioned_ = false;
+    refill_budgets();
+    if (const DecodeError error = decode(bytes, fleet_, *this); error != DecodeError::none) {
+      ++counters_.decode_errors[static_cast<std::size_t>(error)];
+      log_dropped(error);
     }
   }
 
   void timer_expired(TimerId timer) {
-    const auto due = static_cast<Due>(timer.value >> 56);
-    const std::uint64_t turn = timer.value & ((1ull << 56) - 1);
-    tick();
-    switch (due) {
-      case Due::probe:
+    const auto kind = static_cast<Timer>(timer.value >> 56);
+    const std::uint64_t seq = timer.value & ((1ull << 56) - 1);
+    refill_budgets();
+    switch (kind) {
+      case Timer::probe:
         return probe();
-      case Due::direct:
-        if (turn == probe_turn_) try_others();
+      case Timer::direct_timeout:
+        if (seq == probe_seq_) send_indirect_probes();
         return;
-      case Due::round_over:
-        if (turn == probe_turn_) round_over();
+      case Timer::probe_timeout:
+        if (seq == probe_seq_) finish_probe();
         return;
-      case Due::gossip:
-        return spread_news();
-      case Due::doubts:
-        return weigh_doubts();
-      case Due::dead:
-        return ask_dead();
-      case Due::seeds:
-        if (turn == seed_turn_) ask_seeds();
+      case Timer::gossip:
+        return send_gossip_round();
+      case Timer::suspicions:
+        return check_suspicions();
+      case Timer::failed_members:
+        return ping_failed_member();
+      case Timer::seeds:
+        if (seq == seed_seq_) ping_seeds();
         return;
-      case Due::alone:
-        if (me().state == MemberState::joining && !claiming_ && !rival_) join("no seed answers");
+      case Timer::join_timeout:
+        if (me().state == MemberState::joining && !claim_pending_ && !name_taken_) join("no seed answers");
         return;
-      case Due::claimed:
-        if (turn == claim_turn_) claim_over();
+      case Timer::claim_timeout:
+        if (seq == claim_seq_) claim_expired();
         return;
-      case Due::helped:
-        return help_over(Nonce{turn});
+      case Timer::indirect_timeout:
+        return indirect_probe_expired(Nonce{seq});
     }
   }
 
   void leave() {
     Entry& mine = members_.find(name_)->second;
-    if (mine.facts.state == MemberState::joining) {
-      silent_ = true;
+    if (mine.member.state == MemberState::joining) {
+      muted_ = true;
       return;
     }
-    change(name_, [](Member& m) {
+    update_member(name_, [](Member& m) {
       ++m.incarnation;
       m.state = MemberState::leaving;
     });
-    // Also to those whom gossip would reach only after this process has gone.
-    for (const Address& to : some(kGossipTo * 2, {})) send_gossip(MessageKind::gossip, to, next_nonce());
+    // Sent at once to more members than usual, since the process exits before gossip reaches everyone.
+    for (const Address& to : random_peers(kGossipFanout * 2, {}))
+      send_gossip(MessageKind::gossip, to, next_nonce());
   }
 
   void set_seeds(std::vector<Address> seeds) {
     seeds_ = std::move(seeds);
     std::erase(seeds_, me().address);
-    seed_pause_ = Micros{0};  // the next round is the first of these
+    seed_retry_delay_ = Micros{0};  // restarts the backoff
   }
 
   void set_metadata(std::string_view metadata) {
     if (me().metadata == metadata) return;
-    const auto take = [&](Member& m) {
+    const auto apply = [&](Member& m) {
       m.metadata = std::string(metadata.substr(0, kMaxMetadataBytes));
       ++m.incarnation;
     };
-    began_ == kNever ? take(me()) : change(name_, take);
+    started_at_ == kNever ? apply(me()) : update_member(name_, apply);
   }
 
   std::uint64_t digest() const { return XXH3_64bits(buckets_.data(), sizeof buckets_); }
@@ -202,7 +209,7 @@
   unsigned active_count() const {
     if (me().state == MemberState::joining) return 0;
     unsigned out = 0;
-    for (const auto& [name, e] : members_) out += e.facts.state != MemberState::left;
+    for (const auto& [name, e] : members_) out += e.member.state != MemberState::left;
     return out;
   }
 
@@ -212,84 +219,88 @@
 
  private:
   struct Entry {
-    Member facts;
-    std::vector<std::string> accusers;  // of a suspicion, the first that was heard of first
-    Micros doubt_from = kNever;
-    bool verdict_said = false;       // another has come to the verdict: the least doubt is enough
-    int sends = 0;                   // that its word has left to be spread
-    Micros told_at = kNever;         // that it is called failed
-    Micros pardoned_until = kNever;  // this node was cut off when it called it failed, and asks anew
-    Nonce asked_as;                  // when it was last told or asked
-    DecayingMean trip;               // there and back, in seconds
+    Member member;
+    std::vector<std::string> suspected_by;  // who reported the suspicion, in order of arrival
+    Micros suspected_since = kNever;
+    bool failure_reported = false;  // another member reports it as failed: the minimum timeout applies
+    int transmits_left = 0;         // of its latest update by gossip
+    Micros notified_at = kNever;    // when it was last sent the suspicion or failure reported of it
+    Micros recheck_until = kNever;  // marked as failed by this node while partitioned; an ack reinstates it
+    Nonce notify_nonce;             // of that ping
+    DecayingMean round_trip;        // seconds
   };
   using Entries = std::map<std::string, Entry, std::less<>>;
-  using News = Entries::value_type;
-  struct Helped {
-    Nonce asked_as;  // by whom it was asked
-    Address asker;
+  using GossipEntry = Entries::value_type;
+  struct IndirectProbe {
+    Nonce request_nonce;
+    Address requester;
   };
 
-  Member& me() { return members_.find(name_)->second.facts; }
-  const Member& me() const { return members_.find(name_)->second.facts; }
-  bool silent() const { return silent_ || rival_; }
+  Member& me() { return members_.find(name_)->second.member; }
+  const Member& me() const { return members_.find(name_)->second.member; }
+  bool is_muted() const { return muted_ || name_taken_; }
 
-  // The clock's own work.
+  // Timers and random numbers.
 
-  void wake(Micros in, Due due, std::uint64_t turn = 0) {
-    if (due == Due::probe) due_ = now_ + in;
-    delegate_.set_timer(in, wake_id(due, turn));
+  void set_timer(Micros delay, Timer timer, std::uint64_t seq = 0) {
+    if (timer == Timer::probe) probe_due_at_ = now_ + delay;
+    delegate_.set_timer(delay, timer_id(timer, seq));
   }
 
-  void tick() {
-    bytes_left_ = std::min(kBytesKept, bytes_left_ + kBytesPerSecond * seconds(now_ - refill_at_));
-    shown_left_ = std::min(kBytesKept, shown_left_ + kBytesPerSecond * seconds(now_ - refill_at_));
-    refill_at_ = now_;
+  void refill_budgets() {
+    send_budget_ =
+        std::min(kSendBurstBytes, send_budget_ + kSendBytesPerSecond * seconds(now_ - refilled_at_));
+    query_budget_ =
+        std::min(kSendBurstBytes, query_budget_ + kSendBytesPerSecond * seconds(now_ - refilled_at_));
+    refilled_at_ = now_;
   }
 
-  void paused(Micros by) {
-    due_ = now_ + interval_;  // the wake that is late comes in a moment
-    probed_.clear();
-    ++probe_turn_;
-    answers_ = 0;
-    helped_.clear();
-    health_ = std::min(health_ + 1, kMostHealth);
+  void process_paused(Micros delay) {
+    probe_due_at_ = now_ + interval_;  // the overdue probe timer is about to expire
+    recent_probes_.clear();
+    ++probe_seq_;
+    probe_history_ = 0;
+    indirect_probes_.clear();
+    health_penalty_ = std::min(health_penalty_ + 1, kMaxHealthPenalty);
     for (auto& [name, e] : members_)
-      if (e.facts.state == MemberState::suspected) e.doubt_from += by;
+      if (e.member.state == MemberState::suspected) e.suspected_since += delay;
   }
 
-  Micros jittered(Micros mean, double by) {
-    const double off = (2 * std::generate_canonical<double, 32>(chance_) - 1) * by;
-    return Micros{static_cast<std::int64_t>(static_cast<double>(mean.count()) * (1 + off))};
+  // Uniform within `spread` of the mean, as a share of it.
+  Micros jittered(Micros mean, double spread) {
+    const double offset = (2 * std::generate_canonical<double, 32>(rng_) - 1) * spread;
+    return Micros{static_cast<std::int64_t>(static_cast<double>(mean.count()) * (1 + offset))};
   }
-  std::size_t below(std::size_t n) {
-    return std::min(n - 1, static_cast<std::size_t>(std::generate_canonical<double, 32>(chance_) *
-                                                    static_cast<double>(n)));
+  std::size_t random_index(std::size_t size) {
+    return std::min(size - 1, static_cast<std::size_t>(std::generate_canonical<double, 32>(rng_) *
+                                                       static_cast<double>(size)));
   }
-  Nonce next_nonce() { return Nonce{++nonces_}; }  // fits beside a kind in a wake's number
+  Nonce next_nonce() { return Nonce{++last_nonce_}; }  // below 2^56, so that it fits into a timer id
 
   // Sending.
 
-  Sender from() const { return {name_, me().generation, me().address, digest(), weight(), false}; }
+  Sender local_sender() const { return {name_, me().generation, me().address, digest(), weight(), false}; }
 
-  // For whoever looks on, out of a part of its own: neither takes from the other.
-  void show(DatagramWriter& writer) {
+  // Replies to view queries have a budget of their own, so that they and the members' traffic do not starve
+  // each other.
+  void send_view_page(DatagramWriter& writer) {
     const std::string_view bytes = writer.finish();
-    if (shown_left_ < 0) return;
-    shown_left_ -= static_cast<double>(bytes.size());
-    delegate_.send(came_from_, bytes);
+    if (query_budget_ < 0) return;
+    query_budget_ -= static_cast<double>(bytes.size());
+    delegate_.send(source_, bytes);
   }
 
-  // Members that wait for an answer go first. News, views and answers to newcomers leave a quarter for them:
-  // a fleet that starts at once would else use up what its seeds may send.
-  enum class Rank { owed, spare };
+  // Low priority (gossip, sync, replies to newcomers) leaves a quarter of the burst to pings and acks:
+  // otherwise a fleet that starts all at once uses up the budget of its seeds.
+  enum class Priority { high, low };
 
-  void send(const Address& to, DatagramWriter& writer, Rank rank) {
+  void send(const Address& to, DatagramWriter& writer, Priority priority) {
     const std::string_view bytes = writer.finish();
-    if (bytes_left_ < (rank == Rank::owed ? 0 : kBytesKept / 4)) {
+    if (send_budget_ < (priority == Priority::high ? 0 : kSendBurstBytes / 4)) {
       ++counters_.throttled;
       return;
     }
-    bytes_left_ -= static_cast<double>(bytes.size());
+    send_budget_ -= static_cast<double>(bytes.size());
     ++counters_.sent;
     counters_.sent_bytes += bytes.size();
     delegate_.send(to, bytes);
@@ -300,794 +311,836 @@
             m.zone, m.version,    m.metadata,    m.reported_by};
   }
 
-  // A datagram that carries, beside `first`, as much gossip as fits.
+  // Sends a datagram with the update of the member `first`, if known, and as many queued updates as fit.
   void send_gossip(MessageKind kind, const Address& to, Nonce nonce, std::string_view first = {}) {
-    DatagramWriter writer(kind, fleet_, from(), nonce);
+    DatagramWriter writer(kind, fleet_, local_sender(), nonce);
     if (const auto it = members_.find(first); it != members_.end())
-      writer.add(update_of(first, it->second.facts));
-    // Where much has to be said, questions and answers go out bare rather than not at all.
-    if (kind != MessageKind::gossip && bytes_left_ < kBytesKept / 2) return send(to, writer, Rank::owed);
-    // Those least spread first.
-    const auto fits = news_.begin() + static_cast<std::ptrdiff_t>(std::min(news_.size(), kWordsAtMost));
-    std::partial_sort(news_.begin(), fits, news_.end(),
-                      [](const News* a, const News* b) { return a->second.sends > b->second.sends; });
-    for (auto it = news_.begin(); it != fits; ++it) {
+      writer.add(update_of(first, it->second.member));
+    // When the budget runs low, pings and acks are sent without gossip rather than dropped.
+    if (kind != MessageKind::gossip && send_budget_ < kSendBurstBytes / 2)
+      return send(to, writer, Priority::high);
+    // Updates sent the fewest times so far go first.
+    const auto end = gossip_queue_.begin() +
+                     static_cast<std::ptrdiff_t>(std::min(gossip_queue_.size(), kMaxUpdatesPerDatagram));
+    std::partial_sort(gossip_queue_.begin(), end, gossip_queue_.end(),
+                      [](const GossipEntry* a, const GossipEntry* b) {
+                        return a->second.transmits_left > b->second.transmits_left;
+                      });
+    for (auto it = gossip_queue_.begin(); it != end; ++it) {
       if ((*it)->first == first) continue;
-      if (!writer.add(update_of((*it)->first, (*it)->second.facts))) break;
-      --(*it)->second.sends;
+      if (!writer.add(update_of((*it)->first, (*it)->second.member))) break;
+      --(*it)->second.transmits_left;
     }
-    std::erase_if(news_, [](const News* n) { return n->second.sends <= 0; });
-    send(to, writer, kind == MessageKind::gossip ? Rank::spare : Rank::owed);
+    std::erase_if(gossip_queue_, [](const GossipEntry* e) { return e->second.transmits_left <= 0; });
+    send(to, writer, kind == MessageKind::gossip ? Priority::low : Priority::high);
   }
 
-  // Spreads what is known of a member; less of it where others learn it by exchange as well, as they do where
-  // much is new at once.
-  void tell(std::string_view name, bool exchanged = false) {
-    News& n = *members_.find(name);
-    if (n.second.sends <= 0) news_.push_back(&n);
-    n.second.sends =
-        exchanged || news_.size() > kWordsAtMost
-            ? kSpreadLeast
-            : kSpreadLeast + static_cast<int>(std::ceil(std::log2(static_cast<double>(live_) + 2)));
-    if (!std::exchange(gossip_due_, true)) wake(jittered(interval_ / kGossipParts / 2, 0.5), Due::gossip);
+  // Queues a member's update for gossip. It is sent the minimum number of times if others learn it by sync as
+  // well, which is also the case when many updates are new at once.
+  void queue_update(std::string_view name, bool from_sync = false) {
+    GossipEntry& entry = *members_.find(name);
+    if (entry.second.transmits_left <= 0) gossip_queue_.push_back(&entry);
+    entry.second.transmits_left =
+        from_sync || gossip_queue_.size() > kMaxUpdatesPerDatagram
+            ? kMinTransmits
+            : kMinTransmits + static_cast<int>(std::ceil(std::log2(static_cast<double>(live_count_) + 2)));
+    if (!std::exchange(gossip_timer_set_, true))
+      set_timer(jittered(interval_ / kGossipRoundsPerInterval / 2, 0.5), Timer::gossip);
   }
 
-  void unspread(News& n) {
-    n.second.sends = 0;
-    std::erase(news_, &n);
+  void dequeue_update(GossipEntry& entry) {
+    entry.second.transmits_left = 0;
+    std::erase(gossip_queue_, &entry);
   }
 
-  void spread_news() {
-    gossip_due_ = false;
-    if (news_.empty() || silent()) return;
-    for (const Address& to : some(kGossipTo, {})) {
-      if (news_.empty()) break;
+  void send_gossip_round() {
+    gossip_timer_set_ = false;
+    if (gossip_queue_.empty() || is_muted()) return;
+    for (const Address& to : random_peers(kGossipFanout, {})) {
+      if (gossip_queue_.empty()) break;
       send_gossip(MessageKind::gossip, to, next_nonce());
     }
-    gossip_due_ = true;
-    wake(jittered(interval_ / kGossipParts, 0.2), Due::gossip);
+    gossip_timer_set_ = true;
+    set_timer(jittered(interval_ / kGossipRoundsPerInterval, 0.2), Timer::gossip);
   }
 
-  // Members drawn by chance whom a datagram may reach, by their addresses.
-  std::vector<Address> some(std::size_t n, std::string_view but) {
+  // Addresses of at most `count` random members that are neither failed nor gone, without `excluded`.
+  std::vector<Address> random_peers(std::size_t count, std::string_view excluded) {
     std::vector<Address> out;
     std::set<std::size_t> drawn;
-    for (std::size_t i = 0; !order_.empty() && i < 4 * n && out.size() < n; ++i) {
-      const std::size_t no = below(order_.size());
-      if (!drawn.insert(no).second || order_[no] == but) continue;
-      const auto it = members_.find(order_[no]);
-      if (it != members_.end() && reachable(it->first, it->second)) out.push_back(it->second.facts.address);
+    for (std::size_t i = 0; !probe_order_.empty() && i < 4 * count && out.size() < count; ++i) {
+      const std::size_t no = random_index(probe_order_.size());
+      if (!drawn.insert(no).second || probe_order_[no] == excluded) continue;
+      const auto it = members_.find(probe_order_[no]);
+      if (it != members_.end() && is_active_peer(it->first, it->second))
+        out.push_back(it->second.member.address);
     }
     return out;
   }
 
-  bool reachable(std::string_view name, const Entry& e) const {
-    return name != name_ && !is_terminal(e.facts.state);
+  bool is_active_peer(std::string_view name, const Entry& e) const {
+    return name != name_ && !is_terminal(e.member.state);
   }
 
-  // The digest: of all that is not gone for good, so that what is forgotten at different times makes no two
-  // views differ.
+  // The digest covers only members that are neither failed nor gone, since nodes forget those at different
+  // times and equal views would differ.
 
-  static std::size_t bucket(std::string_view name) {
+  static std::size_t bucket_of(std::string_view name) {
     return XXH3_64bits(name.data(), name.size()) % kDigestBuckets;
   }
-  static std::uint64_t digest_of(std::string_view name, const Member& m) {
-    const std::uint64_t own[] = {m.generation.value, m.incarnation, static_cast<std::uint64_t>(m.state),
-                                 m.address.port};
-    std::uint64_t h = XXH3_64bits_withSeed(own, sizeof own, XXH3_64bits(name.data(), name.size()));
+  static std::uint64_t member_hash(std::string_view name, const Member& m) {
+    const std::uint64_t fields[] = {m.generation.value, m.incarnation, static_cast<std::uint64_t>(m.state),
+                                    m.address.port};
+    std::uint64_t h = XXH3_64bits_withSeed(fields, sizeof fields, XXH3_64bits(name.data(), name.size()));
     h = XXH3_64bits_withSeed(m.address.bytes.data(), m.address.bytes.size(), h);
     return XXH3_64bits_withSeed(m.metadata.data(), m.metadata.size(), h);
   }
-  static bool counts_in_digest(const Member& m) {
+  static bool is_in_digest(const Member& m) {
     return !is_terminal(m.state) && m.state != MemberState::joining;
   }
-  enum class Way { in, out };
-  void digest(std::string_view name, const Member& m, Way way) {
-    if (!counts_in_digest(m)) return;
-    buckets_[bucket(name)] ^= digest_of(name, m);  // the same both ways
-    const std::size_t one = way == Way::in ? 1 : std::size_t(-1);
-    live_ += one;
-    if (m.state != MemberState::suspected) well_ += one;
+  enum class DigestOp { add, remove };
+  void update_digest(std::string_view name, const Member& m, DigestOp op) {
+    if (!is_in_digest(m)) return;
+    buckets_[bucket_of(name)] ^= member_hash(name, m);  // adds and removes alike
+    const std::size_t delta = op == DigestOp::add ? 1 : std::size_t(-1);
+    live_count_ += delta;
+    if (m.state != MemberState::suspected) healthy_count_ += delta;
   }
 
-  // Changes one member's facts; all that hangs on them follows.
+  // Changes a member and everything that depends on it: digest, suspicion, gossip queue and delegate.
   template <class Change>
-  void change(std::string_view name, Change change) {
+  void update_member(std::string_view name, Change change) {
     const auto it = members_.find(name);
     Entry& e = it->second;
-    const MemberState was = e.facts.state;
-    const Generation generation = e.facts.generation;
-    e.pardoned_until = kNever;
-    digest(name, e.facts, Way::out);
-    change(e.facts);
-    digest(name, e.facts, Way::in);
-    if (e.facts.state != MemberState::suspected) {
-      e.accusers.clear();
-      e.doubt_from = kNever;
-      e.verdict_said = false;
+    const MemberState old_state = e.member.state;
+    const Generation old_generation = e.member.generation;
+    e.recheck_until = kNever;
+    update_digest(name, e.member, DigestOp::remove);
+    change(e.member);
+    update_digest(name, e.member, DigestOp::add);
+    if (e.member.state != MemberState::suspected) {
+      e.suspected_by.clear();
+      e.suspected_since = kNever;
+      e.failure_reported = false;
     }
-    tell(it->first);
-    if (e.facts.state == was && e.facts.generation == generation) return;
-    e.facts.since = now_;
-    delegate_.on_member_changed(it->first, e.facts, false);
-  }
-
-  void take_facts(Member& m, const MemberUpdate& w, std::string_view by) {
-    m.generation = w.generation;
-    m.incarnation = w.incarnation;
-    m.state = w.state;
-    m.address = w.address;
-    m.zone = w.zone;
-    m.version = w.version;
-    m.metadata = w.metadata;
-    m.reported_by = by;
-  }
-
-  void start_anew(Generation over) {
-    change(name_, [&](Member& m) {
-      m.generation = Generation{std::max(m.generation.value, over.value) + 1};
+    queue_update(it->first);
+    if (e.member.state == old_state && e.member.generation == old_generation) return;
+    e.member.since = now_;
+    delegate_.on_member_changed(it->first, e.member, false);
+  }
+
+  void copy_update(Member& m, const MemberUpdate& update, std::string_view reported_by) {
+    m.generation = update.generation;
+    m.incarnation = update.incarnation;
+    m.state = update.state;
+    m.address = update.address;
+    m.zone = update.zone;
+    m.version = update.version;
+    m.metadata = update.metadata;
+    m.reported_by = reported_by;
+  }
+
+  // Moves this node to a generation later than its own and `other`, so that what is known of those no longer
+  // applies.
+  void advance_generation(Generation other) {
+    update_member(name_, [&](Member& m) {
+      m.generation = Generation{std::max(m.generation.value, other.value) + 1};
       m.incarnation = 0;
     });
   }
 
-  void join(const char* how) {
+  void join(const char* reason) {
     if (me().state != MemberState::joining) return;
     joined_at_ = now_;
-    change(name_, [](Member& m) { m.state = MemberState::alive; });
+    update_member(name_, [](Member& m) { m.state = MemberState::alive; });
     char line[96];
-    std::snprintf(line, sizeof line, "joined why=\"%s\"", how);
+    std::snprintf(line, sizeof line, "joined why=\"%s\"", reason);
     delegate_.log(line);
   }
 
-  // Joining, and finding those who were lost.
+  // Joining, and rejoining after a partition.
 
-  void ask_seeds() {
-    // Also once joined, as long as a seed is no member here: beyond it may be another part of the fleet.
-    bool missing = false;
-    const auto ask = [&](const Address& seed) {
-      if (joined() && known_at(seed)) return;
-      missing = true;
-      if (!silent()) send_gossip(MessageKind::ping, seed, next_nonce(), name_);
+  void ping_seeds() {
+    // Continues after joining while a seed is not a known member: it may be in another partition.
+    bool any_unknown = false;
+    const auto ping_if_unknown = [&](const Address& seed) {
+      if (joined() && knows_address(seed)) return;
+      any_unknown = true;
+      if (!is_muted()) send_gossip(MessageKind::ping, seed, next_nonce(), name_);
     };
-    for (const Address& seed : seeds_) ask(seed);
-    if (met_) ask(*met_);
-    const auto fleet = static_cast<std::int64_t>(live_);
-    const Micros most = std::max(interval_ * kSeedMost, interval_ * fleet / 4);
-    seed_pause_ = std::min(seed_pause_ == Micros{0} ? interval_ * kSeedFirst : seed_pause_ * 3 / 2, most);
-    if (!missing) seed_pause_ = interval_ * kSeedMost;
-    wake(jittered(seed_pause_, 0.3), Due::seeds, ++seed_turn_);  // a round before it is called off
-  }
-
-  bool known_at(const Address& at) const {
+    for (const Address& seed : seeds_) ping_if_unknown(seed);
+    if (unknown_responder_) ping_if_unknown(*unknown_responder_);
+    const auto fleet_size = static_cast<std::int64_t>(live_count_);
+    const Micros max_delay = std::max(interval_ * kMaxSeedRetryIntervals, interval_ * fleet_size / 4);
+    seed_retry_delay_ = std::min(
+        seed_retry_delay_ == Micros{0} ? interval_ * kMinSeedRetryIntervals : seed_retry_delay_ * 3 / 2,
+        max_delay);
+    if (!any_unknown) seed_retry_delay_ = interval_ * kMaxSeedRetryIntervals;
+    set_timer(jittered(seed_retry_delay_, 0.3), Timer::seeds, ++seed_seq_);  // cancels the timer before it
+  }
+
+  bool knows_address(const Address& address) const {
     for (const auto& [name, e] : members_)
-      if (e.facts.address == at && !is_terminal(e.facts.state)) return true;
+      if (e.member.address == address && !is_terminal(e.member.state)) return true;
     return false;
   }
 
-  void ask_dead() {
-    wake(jittered(interval_ * kDeadAsked, 0.3), Due::dead);
-    forget_old();
-    if (silent() || !joined()) return;
-    std::vector<std::string_view> dead;
+  void ping_failed_member() {
+    set_timer(jittered(interval_ * kFailedPingIntervals, 0.3), Timer::failed_members);
+    forget_expired();
+    if (is_muted() || !joined()) return;
+    std::vector<std::string_view> failed;
     for (const auto& [name, e] : members_)
-      if (e.facts.state == MemberState::failed) dead.push_back(name);
-    if (dead.empty()) return;
-    const std::string_view one = dead[below(dead.size())];
-    tell_accused(one, true);
+      if (e.member.state == MemberState::failed) failed.push_back(name);
+    if (failed.empty()) return;
+    notify_accused(failed[random_index(failed.size())], true);
   }
 
-  // It is told what is believed of it, so that it can say better; one that is pardoned is only asked.
-  void tell_accused(std::string_view name, bool at_once = false) {
+  // Pings a member with the suspicion or failure reported of it, so that it can refute it. While it is being
+  // rechecked, the ping carries only this node's own update.
+  void notify_accused(std::string_view name, bool at_once = false) {
     Entry& e = members_.find(name)->second;
-    if (!(at_once && !pardoned(e)) && e.told_at != kNever && now_ - e.told_at < interval_) return;
-    e.told_at = now_;
-    e.asked_as = next_nonce();
-    if (!silent())
-      send_gossip(MessageKind::ping, e.facts.address, e.asked_as,
-                  pardoned(e) ? std::string_view(name_) : name);
+    if (!(at_once && !is_rechecked(e)) && e.notified_at != kNever && now_ - e.notified_at < interval_) return;
+    e.notified_at = now_;
+    e.notify_nonce = next_nonce();
+    if (!is_muted())
+      send_gossip(MessageKind::ping, e.member.address, e.notify_nonce,
+                  is_rechecked(e) ? std::string_view(name_) : name);
   }
 
-  void forget_old() {
+  void forget_expired() {
     for (auto it = members_.begin(); it != members_.end();) {
-      const Member& m = it->second.facts;
-      const Micros kept = m.state == MemberState::left ? interval_ * kLeftKept : forget_;
-      const bool old = is_terminal(m.state) && now_ - m.since > kept;
-      if (!old) {
+      const Member& m = it->second.member;
+      const Micros retention = m.state == MemberState::left ? interval_ * kLeftRetentionIntervals : forget_;
+      const bool expired = is_terminal(m.state) && now_ - m.since > retention;
+      if (!expired) {
         ++it;
         continue;
       }
-      unspread(*it);
+      dequeue_update(*it);
       it = members_.erase(it);
     }
   }
 
-  // Makes room for one more: of those that are gone the one that has been so for the longest.
+  // Evicts the member that has been failed or gone the longest, if the view is full; false: there is none.
   bool make_room() {
-    if (members_.size() < most_) return true;
+    if (members_.size() < max_members_) return true;
     auto oldest = members_.end();
     for (auto it = members_.begin(); it != members_.end(); ++it) {
-      if (!is_terminal(it->second.facts.state)) continue;
-      if (oldest == members_.end() || it->second.facts.since < oldest->second.facts.since) oldest = it;
+      if (!is_terminal(it->second.member.state)) continue;
+      if (oldest == members_.end() || it->second.member.since < oldest->second.member.since) oldest = it;
     }
     if (oldest == members_.end()) return ++counters_.rejected_members, false;
-    unspread(*oldest);
+    dequeue_update(*oldest);
     members_.erase(oldest);
     return true;
   }
 
   // Probes.
 
+  // Pings the next member. Without an ack before `direct_timeout` others are asked to ping it; without one
+  // before `probe_timeout` it is suspected.
   void probe() {
-    const std::string* const next = silent() ? nullptr : next_to_probe();
-    const Micros least = interval_ * (1 + health_) / 3;
-    const Micros direct = std::max(least, next ? usual_trip(members_.find(*next)->second) : 0us);
-    const Micros over = std::max(direct * 2, least * 27 / 10);
-    wake(std::max(jittered(least * 3, 0.1), over * 11 / 10), Due::probe);
+    const std::string* const next = is_muted() ? nullptr : next_to_probe();
+    const Micros min_timeout = interval_ * (1 + health_penalty_) / 3;
+    const Micros direct_timeout =
+        std::max(min_timeout, next ? round_trip_timeout(members_.find(*next)->second) : 0us);
+    const Micros probe_timeout = std::max(direct_timeout * 2, min_timeout * 27 / 10);
+    set_timer(std::max(jittered(min_timeout * 3, 0.1), probe_timeout * 11 / 10), Timer::probe);
     if (!next) return;
     const Entry& e = members_.find(*next)->second;
-    Probed probed{next_nonce(), *next, e.facts.generation, now_};
-    ++probe_turn_;
-    answered_ = false;
-    nacks_.clear();
-    probed_.push_back(probed);
-    while (!probed_.empty() && now_ - probed_.front().at > interval_ * 32) probed_.pop_front();
-    send_gossip(MessageKind::ping, e.facts.address, probed.nonce,
-                e.facts.state == MemberState::suspected ? probed.name : std::string_view());
-    wake(direct, Due::direct, probe_turn_);
-    wake(over, Due::round_over, probe_turn_);
-  }
-
-  // An answer may take so long: twice what is usual there, or with anybody.
-  Micros usual_trip(const Entry& e) const {
-    const double there = std::max(round_trip_.value_or(0), e.trip.value_or(0));
-    return std::min(Micros{static_cast<std::int64_t>(there * 2e6)}, interval_ * kLongestTrip);
-  }
-
-  // Each in turn, in an order drawn anew when all have had theirs; those of whom a suspicion was heard first.
+    Probe probe{next_nonce(), *next, e.member.generation, now_};
+    ++probe_seq_;
+    probe_answered_ = false;
+    nacked_by_.clear();
+    recent_probes_.push_back(probe);
+    while (!recent_probes_.empty() && now_ - recent_probes_.front().sent_at > interval_ * kLateAckIntervals)
+      recent_probes_.pop_front();
+    send_gossip(MessageKind::ping, e.member.address, probe.nonce,
+                e.member.state == MemberState::suspected ? probe.name : std::string_view());
+    set_timer(direct_timeout, Timer::direct_timeout, probe_seq_);
+    set_timer(probe_timeout, Timer::probe_timeout, probe_seq_);
+  }
+
+  // Time allowed for an ack: twice the mean round trip to this member or to all, whichever is larger.
+  Micros round_trip_timeout(const Entry& e) const {
+    const double mean = std::max(round_trip_.value_or(0), e.round_trip.value_or(0));
+    return std::min(Micros{static_cast<std::int64_t>(mean * 2e6)}, interval_ * kMaxRoundTripIntervals);
+  }
+
+  // Round-robin in a random order, which is shuffled again after each round (as in SWIM); newly suspected
+  // members that this node verifies itself go first.
   const std::string* next_to_probe() {
-    while (!look_at_.empty()) {
-      looked_at_ = look_at_.back();
-      look_at_.pop_back();
-      const auto it = members_.find(looked_at_);
-      if (it != members_.end() && reachable(it->first, it->second)) return &looked_at_;
+    while (!verify_queue_.empty()) {
+      verifying_ = verify_queue_.back();
+      verify_queue_.pop_back();
+      const auto it = members_.find(verifying_);
+      if (it != members_.end() && is_active_peer(it->first, it->second)) return &verifying_;
     }
-    for (int pass = 0; pass < 2; ++pass) {
-      while (next_ < order_.size()) {
-        const auto it = members_.find(order_[next_++]);
-        if (it != members_.end() && reachable(it->first, it->second)) return &it->first;
+    for (int attempt = 0; attempt < 2; ++attempt) {
+      while (next_probe_ < probe_order_.size()) {
+        const auto it = members_.find(probe_order_[next_probe_++]);
+        if (it != members_.end() && is_active_peer(it->first, it->second)) return &it->first;
       }
-      order_.clear();
+      probe_order_.clear();
       for (const auto& [name, e] : members_)
-        if (reachable(name, e)) order_.push_back(name);
-      for (std::size_t i = order_.size(); i > 1; --i) std::swap(order_[i - 1], order_[below(i)]);
-      next_ = 0;
+        if (is_active_peer(name, e)) probe_order_.push_back(name);
+      for (std::size_t i = probe_order_.size(); i > 1; --i)
+        std::swap(probe_order_[i - 1], probe_order_[random_index(i)]);
+      next_probe_ = 0;
     }
     return nullptr;
   }
 
-  void try_others() {
-    if (answered_ || probed_.empty()) return;
-    const Probed& p = probed_.back();
-    const auto it = members_.find(p.name);
+  void send_indirect_probes() {
+    if (probe_answered_ || recent_probes_.empty()) return;
+    const Probe& probe = recent_probes_.back();
+    const auto it = members_.find(probe.name);
     if (it == members_.end()) return;
-    send_gossip(MessageKind::ping, it->second.facts.address, p.nonce, p.name);
-    for (const Address& helper : some(kHelpers, p.name)) {
-      DatagramWriter writer(MessageKind::ping_request, fleet_, from(), p.nonce);
-      writer.ping_request(p.name, it->second.facts.address);
-      send(helper, writer, Rank::owed);
+    send_gossip(MessageKind::ping, it->second.member.address, probe.nonce, probe.name);
+    for (const Address& helper : random_peers(kIndirectProbes, probe.name)) {
+      DatagramWriter writer(MessageKind::ping_request, fleet_, local_sender(), probe.nonce);
+      writer.ping_request(probe.name, it->second.member.address);
+      send(helper, writer, Priority::high);
     }
   }
 
-  void round_over() {
-    answers_ = static_cast<std::uint8_t>(answers_ << 1 | answered_);
-    if (answered_ || probed_.empty()) return;
-    const Probed p = probed_.back();
-    const auto it = members_.find(p.name);
-    if (it == members_.end() || it->second.facts.generation != p.generation) return;
-    const Member& m = it->second.facts;
+  void finish_probe() {
+    probe_history_ = static_cast<std::uint8_t>(probe_history_ << 1 | probe_answered_);
+    if (probe_answered_ || recent_probes_.empty()) return;
+    const Probe probe = recent_probes_.back();
+    const auto it = members_.find(probe.name);
+    if (it == members_.end() || it->second.member.generation != probe.generation) return;
+    const Member& m = it->second.member;
     if (m.state == MemberState::leaving)
-      return change(p.name, [this](Member& now) { now.state = MemberState::left, now.reported_by = name_; });
-    suspect(p.name, m.incarnation, name_);
-    // Helpers that could not reach it either share the suspicion.
-    for (const std::string& helper : nacks_) suspect(p.name, m.incarnation, helper);
+      return update_member(probe.name,
+                           [this](Member& now) { now.state = MemberState::left, now.reported_by = name_; });
+    suspect(probe.name, m.incarnation, name_);
+    // Each helper that reported no ack confirms the suspicion.
+    for (const std::string& helper : nacked_by_) suspect(probe.name, m.incarnation, helper);
   }
 
   void on_ping(const Sender& from, Nonce nonce) override {
-    if (silent()) {
-      if (rival_) send_claim(from.address, nonce);
+    if (is_muted()) {
+      if (name_taken_) send_claim(from.address, nonce);
       return;
     }
-    sender_is(from);
+    check_sender(from);
     const auto it = members_.find(from.name);
-    // Whoever is called failed or suspected here, or is known by another start, hears of it with the answer.
-    const bool better =
-        it != members_.end() && !pardoned(it->second) &&
-        (is_terminal(it->second.facts.state) || it->second.facts.state == MemberState::suspected ||
-         it->second.facts.generation != from.generation);
-    if (joined() && !better && !doubted_ && is_new(from.name))
+    // A sender that is failed or suspected here, or known by another generation, is told so with the ack, so
+    // that it can refute it.
+    const bool can_refute =
+        it != members_.end() && !is_rechecked(it->second) &&
+        (is_terminal(it->second.member.state) || it->second.member.state == MemberState::suspected ||
+         it->second.member.generation != from.generation);
+    if (joined() && !can_refute && !self_mentioned_ && is_newcomer(from.name))
       welcome(from.address, nonce);
     else
-      send_gossip(MessageKind::ack, from.address, nonce, better ? from.name : std::string_view(name_));
-    if (!joined() && !claiming_) join("another joins too");
+      send_gossip(MessageKind::ack, from.address, nonce, can_refute ? from.name : std::string_view(name_));
+    if (!joined() && !claim_pending_) join("another joins too");
   }
 
-  bool is_new(std::string_view name) const {
+  bool is_newcomer(std::string_view name) const {
     const auto it = members_.find(name);
-    return it == members_.end() || now_ - it->second.facts.since < interval_ * kNewcomer;
+    return it == members_.end() || now_ - it->second.member.since < interval_ * kNewcomerIntervals;
   }
 
-  // A newcomer is introduced to some others, so that a fleet that starts at once does not ask its seeds for
-  // all.
+  // Acks a newcomer's ping with the updates of some random members, so that a fleet that starts all at once
+  // does not get every member from its seeds.
   void welcome(const Address& to, Nonce nonce) {
-    DatagramWriter writer(MessageKind::ack, fleet_, from(), nonce);
+    DatagramWriter writer(MessageKind::ack, fleet_, local_sender(), nonce);
     writer.add(update_of(name_, me()));
-    for (std::size_t i = 0; i < kIntroduced && !order_.empty(); ++i) {
-      const auto it = members_.find(order_[below(order_.size())]);
-      if (it != members_.end() && it->second.facts.state == MemberState::alive)
-        writer.add(update_of(it->first, it->second.facts));
+    for (std::size_t i = 0; i < kWelcomeMembers && !probe_order_.empty(); ++i) {
+      const auto it = members_.find(probe_order_[random_index(probe_order_.size())]);
+      if (it != members_.end() && it->second.member.state == MemberState::alive)
+        writer.add(update_of(it->first, it->second.member));
     }
-    send(to, writer, Rank::spare);
+    send(to, writer, Priority::low);
   }
 
   void on_ack(const Sender& from, Nonce nonce) override {
-    if (const auto helped = helped_.find(nonce.value); helped != helped_.end()) {
-      DatagramWriter writer(MessageKind::ack, fleet_, this->from(), helped->second.asked_as);
-      send(helped->second.asker, writer, Rank::owed);
-      helped_.erase(helped);
+    if (const auto indirect = indirect_probes_.find(nonce.value); indirect != indirect_probes_.end()) {
+      DatagramWriter writer(MessageKind::ack, fleet_, local_sender(), indirect->second.request_nonce);
+      send(indirect->second.requester, writer, Priority::high);
+      indirect_probes_.erase(indirect);
       return;
     }
-    if (const auto it = members_.find(from.name); it != members_.end() && it->second.asked_as == nonce &&
-                                                  it->second.facts.state == MemberState::failed &&
-                                                  it->second.facts.generation == from.generation) {
-      // Whom this node calls failed answers just now, from a larger part.
-      if (!pardoned(it->second) && !outweighs(from)) {
-        pardon();
-        start_anew(me().generation);
+    if (const auto it = members_.find(from.name); it != members_.end() && it->second.notify_nonce == nonce &&
+                                                  it->second.member.state == MemberState::failed &&
+                                                  it->second.member.generation == from.generation) {
+      // A member that this node marked as failed answers. If it is in the larger partition, this node was the
+      // one cut off: it rechecks all members it marked as failed.
+      if (!is_rechecked(it->second) && !outweighs(from)) {
+        recheck_failed();
+        advance_generation(me().generation);
       }
-      if (pardoned(it->second))
-        change(from.name, [&](Member& m) { m.state = MemberState::alive, m.reported_by = from.name; });
+      if (is_rechecked(it->second))
+        update_member(from.name, [&](Member& m) { m.state = MemberState::alive, m.reported_by = from.name; });
     }
-    // Guards against a node whose seeds are changed before it knows any of those that answer.
-    if (!members_.contains(from.name)) met_ = from.address;
-    sender_is(from);
-    const auto probed =
-        std::find_if(probed_.begin(), probed_.end(), [&](const Probed& p) { return p.nonce == nonce; });
-    if (probed != probed_.end()) {
-      if (from.name == probed->name) {
-        round_trip_.add(seconds(now_ - probed->at), 0.8);
-        // Also an answer that comes too late tells how long this one takes.
+    // Guards against losing contact when the seeds are replaced before any responder has become a member.
+    if (!members_.contains(from.name)) unknown_responder_ = from.address;
+    check_sender(from);
+    const auto probe = std::find_if(recent_probes_.begin(), recent_probes_.end(),
+                                    [&](const Probe& p) { return p.nonce == nonce; });
+    if (probe != recent_probes_.end()) {
+      if (from.name == probe->name) {
+        round_trip_.add(seconds(now_ - probe->sent_at), 0.8);
+        // A late ack counts as well: it shows how long this member takes.
         if (const auto it = members_.find(from.name); it != members_.end())
-          it->second.trip.add(seconds(now_ - probed->at), 0.5);
+          it->second.round_trip.add(seconds(now_ - probe->sent_at), 0.5);
       }
-      if (probed->nonce == probed_.back().nonce && !std::exchange(answered_, true))
-        health_ = std::max(health_ - 1, 0);
+      if (probe->nonce == recent_probes_.back().nonce && !std::exchange(probe_answered_, true))
+        health_penalty_ = std::max(health_penalty_ - 1, 0);
     }
-    if (!joined() && !claiming_ && !rival_) {
+    if (!joined() && !claim_pending_ && !name_taken_) {
       join("a seed answers");
-      const std::vector<Address> known = some(1, {});
+      const std::vector<Address> known = random_peers(1, {});
       start_sync(known.empty() ? from.address : known.front());
     }
-    if (from.digest != digest() && joined() && now_ - synced_at_ >= interval_) start_sync(from.address);
+    if (from.digest != digest() && joined() && now_ - last_sync_at_ >= interval_) start_sync(from.address);
   }
 
   void on_nack(const Sender& from, Nonce nonce) override {
-    if (!probed_.empty() && probed_.back().nonce == nonce && nacks_.size() < kHelpers)
-      nacks_.emplace_back(from.name);
+    if (!recent_probes_.empty() && recent_probes_.back().nonce == nonce &&
+        nacked_by_.size() < kIndirectProbes)
+      nacked_by_.emplace_back(from.name);
   }
 
-  void on_ping_request(const Sender& from, Nonce nonce, std::string_view whom, const Address& at) override {
-    if (silent() || helped_.size() >= kMostHelped) return;
-    const Nonce own = next_nonce();
-    helped_[own.value] = {nonce, from.address};
-    const auto it = members_.find(whom);
-    send_gossip(MessageKind::ping, at, own, it == members_.end() ? std::string_view() : whom);
-    const Micros usual = it == members_.end() ? 0us : usual_trip(it->second);
-    wake(std::max(interval_ / 2, usual), Due::helped, own.value);
+  void on_ping_request(const Sender& from, Nonce nonce, std::string_view target,
+                       const Address& address) override {
+    if (is_muted() || indirect_probes_.size() >= kMaxIndirectProbes) return;
+    const Nonce ping_nonce = next_nonce();
+    indirect_probes_[ping_nonce.value] = {nonce, from.address};
+    const auto it = members_.find(target);
+    send_gossip(MessageKind::ping, address, ping_nonce, it == members_.end() ? std::string_view() : target);
+    const Micros timeout = it == members_.end() ? 0us : round_trip_timeout(it->second);
+    set_timer(std::max(interval_ / 2, timeout), Timer::indirect_timeout, ping_nonce.value);
   }
 
-  void help_over(Nonce own) {
-    const auto it = helped_.find(own.value);
-    if (it == helped_.end()) return;
-    DatagramWriter writer(MessageKind::nack, fleet_, from(), it->second.asked_as);
-    send(it->second.asker, writer, Rank::owed);
-    helped_.erase(it);
+  void indirect_probe_expired(Nonce ping_nonce) {
+    const auto it = indirect_probes_.find(ping_nonce.value);
+    if (it == indirect_probes_.end()) return;
+    DatagramWriter writer(MessageKind::nack, fleet_, local_sender(), it->second.request_nonce);
+    send(it->second.requester, writer, Priority::high);
+    indirect_probes_.erase(it);
   }
 
-  // Suspicion and verdict.
+  // Suspicion and failure.
 
-  std::size_t sharers_wanted(std::string_view accused) const {
+  // At most as many as there are other alive members.
+  std::size_t expected_confirmations(std::string_view suspected) const {
     std::size_t others = 0;
     for (const auto& [name, e] : members_) {
-      others += name != name_ && name != accused && e.facts.state == MemberState::alive;
-      if (others == kSharers) break;
+      others += name != name_ && name != suspected && e.member.state == MemberState::alive;
+      if (others == kMaxConfirmations) break;
     }
     return others;
   }
 
-  Micros doubt(std::string_view name, const Entry& e) const {
-    const Micros least = interval_ * kLeastDoubt;
-    const std::size_t wanted = sharers_wanted(name);
-    if (wanted == 0 || e.verdict_said) return least;
-    const std::size_t shared = std::min(e.accusers.size() - 1, wanted);
-    const double open =
-        1 - std::log(1.0 + static_cast<double>(shared)) / std::log(1.0 + static_cast<double>(wanted));
-    // Where nobody else shares it, this node may be the one that is ill.
-    const double most = kDoubtSpread * (shared == 0 ? 1 + health_ : 1);
-    return Micros{static_cast<std::int64_t>(static_cast<double>(least.count()) * (1 + (most - 1) * open))};
+  // From the maximum without confirmations down to the minimum with all that are expected, logarithmically
+  // (as in Lifeguard).
+  Micros suspicion_timeout(std::string_view name, const Entry& e) const {
+    const Micros min_timeout = interval_ * kMinSuspicionIntervals;
+    const std::size_t expected = expected_confirmations(name);
+    if (expected == 0 || e.failure_reported) return min_timeout;
+    const std::size_t confirmed = std::min(e.suspected_by.size() - 1, expected);
+    const double remaining =
+        1 - std::log(1.0 + static_cast<double>(confirmed)) / std::log(1.0 + static_cast<double>(expected));
+    // Without any confirmation, this node itself may be the faulty one.
+    const double max_factor = kMaxSuspicionFactor * (confirmed == 0 ? 1 + health_penalty_ : 1);
+    return Micros{static_cast<std::int64_t>(static_cast<double>(min_timeout.count()) *
+                                            (1 + (max_factor - 1) * remaining))};
   }
 
-  void suspect(std::string_view name, std::uint32_t incarnation, std::string_view by) {
+  void suspect(std::string_view name, std::uint32_t incarnation, std::string_view reported_by) {
     const auto it = members_.find(name);
     Entry& e = it->second;
-    Member& m = e.facts;
+    Member& m = e.member;
     if (incarnation < m.incarnation || (m.state != MemberState::alive && m.state != MemberState::suspected))
       return;
     if (m.state == MemberState::suspected && incarnation == m.incarnation) {
-      if (e.accusers.size() > kSharers ||
-          std::find(e.accusers.begin(), e.accusers.end(), by) != e.accusers.end())
+      if (e.suspected_by.size() > kMaxConfirmations ||
+          std::find(e.suspected_by.begin(), e.suspected_by.end(), reported_by) != e.suspected_by.end())
         return;
-      e.accusers.emplace_back(by);
-      m.reported_by = by;
-      tell(it->first);  // others are to hear of each accuser
+      e.suspected_by.emplace_back(reported_by);
+      m.reported_by = reported_by;
+      queue_update(it->first);  // each confirmation is spread
     } else {
-      change(name, [&](Member& now) {
+      update_member(name, [&](Member& now) {
         now.state = MemberState::suspected;
         now.incarnation = incarnation;
-        now.reported_by = by;
+        now.reported_by = reported_by;
       });
-      e.accusers.assign(1, std::string(by));
-      e.doubt_from = now_;
-      tell_accused(name, true);
-      if (by != name_ &&
-          std::generate_canonical<double, 32>(chance_) < kLookers / static_cast<double>(live_ + 1))
-        look_at_.emplace_back(name);
+      e.suspected_by.assign(1, std::string(reported_by));
+      e.suspected_since = now_;
+      notify_accused(name, true);
+      if (reported_by != name_ && std::generate_canonical<double, 32>(rng_) <
+                                      kVerifiersPerSuspicion / static_cast<double>(live_count_ + 1))
+        verify_queue_.emplace_back(name);
     }
-    if (!std::exchange(doubts_due_, true)) wake(interval_ / 4, Due::doubts);
+    if (!std::exchange(suspicion_timer_set_, true)) set_timer(interval_ / 4, Timer::suspicions);
   }
 
-  void weigh_doubts() {
-    doubts_due_ = false;
-    std::vector<std::string> verdicts;
-    bool more = false;
+  void check_suspicions() {
+    suspicion_timer_set_ = false;
+    std::vector<std::string> expired;
+    bool pending = false;
     for (const auto& [name, e] : members_) {
-      if (e.facts.state != MemberState::suspected) continue;
-      if (now_ - e.doubt_from >= doubt(name, e))
-        verdicts.push_back(name);
+      if (e.member.state != MemberState::suspected) continue;
+      if (now_ - e.suspected_since >= suspicion_timeout(name, e))
+        expired.push_back(name);
       else
-        more = true;
+        pending = true;
     }
-    for (const std::string& name : verdicts) change(name, [](Member& m) { m.state = MemberState::failed; });
-    if (more && !std::exchange(doubts_due_, true)) wake(interval_ / 4, Due::doubts);
+    for (const std::string& name : expired)
+      update_member(name, [](Member& m) { m.state = MemberState::failed; });
+    if (pending && !std::exchange(suspicion_timer_set_, true)) set_timer(interval_ / 4, Timer::suspicions);
   }
 
-  // Words.
+  // Updates.
 
-  void sender_is(const Sender& from) {
-    // Guards against a name whose process here is an older one: whoever sends hears of the newer.
+  // Tells a sender that this view holds a later generation of its name, or holds it as failed.
+  void check_sender(const Sender& from) {
     const auto it = members_.find(from.name);
     if (it == members_.end() || it->first == name_) return;
-    const Member& m = it->second.facts;
+    const Member& m = it->second.member;
     if (m.generation > from.generation || (m.generation == from.generation && m.state == MemberState::failed))
-      tell_accused(from.name);
+      notify_accused(from.name);
   }
 
-  void on_update(const Sender& from, const MemberUpdate& w) override {
-    if (w.name == name_) return of_myself(from, w);
-    if (silent()) return;
+  void on_update(const Sender& from, const MemberUpdate& update) override {
+    if (update.name == name_) return handle_own_update(from, update);
+    if (is_muted()) return;
     const auto sender = members_.find(from.name);
-    // Whoever is called failed here accuses nobody: it is told first.
-    if (sender != members_.end() && w.name != from.name && w.state > MemberState::alive &&
-        is_terminal(sender->second.facts.state) && sender->second.facts.generation >= from.generation)
+    // Reports from a sender that is failed in this view are ignored; it is told so first.
+    if (sender != members_.end() && update.name != from.name && update.state > MemberState::alive &&
+        is_terminal(sender->second.member.state) && sender->second.member.generation >= from.generation)
       return;
-    const auto it = members_.find(w.name);
-    if (it == members_.end()) return of_stranger(from, w);
+    const auto it = members_.find(update.name);
+    if (it == members_.end()) return add_member(from, update);
     Entry& e = it->second;
-    const Member& m = e.facts;
-    if (w.generation < m.generation) return;
-    if (w.generation > m.generation) {
-      if (w.state != MemberState::joining) newer(w.name, w);
+    const Member& m = e.member;
+    if (update.generation < m.generation) return;
+    if (update.generation > m.generation) {
+      if (update.state != MemberState::joining) apply_newer(update.name, update);
       return;
     }
     if (is_terminal(m.state)) {
-      // It runs by another's word, or by its own: it has to hear that it starts anew.
-      if (m.state == MemberState::failed && w.state < MemberState::failed) tell_accused(w.name);
-      if (m.state == MemberState::failed && w.state == MemberState::left)
-        change(w.name, [&](Member& now) { now.state = MemberState::left, now.reported_by = w.reported_by; });
+      // Someone reports it as running: it has to learn that it needs a later generation.
+      if (m.state == MemberState::failed && update.state < MemberState::failed) notify_accused(update.name);
+      if (m.state == MemberState::failed && update.state == MemberState::left)
+        update_member(update.name, [&](Member& now) {
+          now.state = MemberState::left, now.reported_by = update.reported_by;
+        });
       return;
     }
-    switch (w.state) {
+    switch (update.state) {
       case MemberState::joining:
         return;
       case MemberState::alive:
       case MemberState::leaving:
-        if (m.state == MemberState::leaving && w.state != MemberState::leaving) return;
-        if (w.incarnation > m.incarnation) newer(w.name, w);
+        if (m.state == MemberState::leaving && update.state != MemberState::leaving) return;
+        if (update.incarnation > m.incarnation) apply_newer(update.name, update);
         return;
       case MemberState::suspected:
-        if (!w.reported_by.empty()) suspect(w.name, w.incarnation, w.reported_by);
+        if (!update.reported_by.empty()) suspect(update.name, update.incarnation, update.reported_by);
         return;
       case MemberState::failed:
         if (m.state == MemberState::leaving)
-          return change(w.name,
-                        [&](Member& now) { now.state = MemberState::left, now.reported_by = w.reported_by; });
-        // Doubted here first: after a partition both sides have failed each other, and those here may well
-        // run.
-        suspect(w.name, m.incarnation, w.reported_by.empty() ? from.name : w.reported_by);
-        e.verdict_said = true;
-        tell_accused(w.name);
+          return update_member(update.name, [&](Member& now) {
+            now.state = MemberState::left, now.reported_by = update.reported_by;
+          });
+        // Only suspected at first: after a partition each side has marked the other as failed, and the member
+        // may well be running.
+        suspect(update.name, m.incarnation, update.reported_by.empty() ? from.name : update.reported_by);
+        e.failure_reported = true;
+        notify_accused(update.name);
         return;
       case MemberState::left:
-        return change(w.name,
-                      [&](Member& now) { now.state = MemberState::left, now.reported_by = w.reported_by; });
+        return update_member(update.name, [&](Member& now) {
+          now.state = MemberState::left, now.reported_by = update.reported_by;
+        });
     }
   }
 
-  void newer(std::string_view name, const MemberUpdate& w) {
-    // An accusation of this node's that is refuted: it may be this node that is ill.
-    const auto& accusers = members_.find(name)->second.accusers;
-    if (std::find(accusers.begin(), accusers.end(), name_) != accusers.end())
-      health_ = std::min(health_ + 1, kMostHealth);
-    const bool accused = w.state == MemberState::suspected;
-    const bool verdict = w.state == MemberState::failed;
-    change(name, [&](Member& m) {
-      take_facts(m, w, accused || verdict ? w.reported_by : w.name);
-      if (accused) m.state = MemberState::alive;
+  void apply_newer(std::string_view name, const MemberUpdate& update) {
+    // A suspicion that this node reported is refuted: this node itself may be the faulty one.
+    const auto& suspected_by = members_.find(name)->second.suspected_by;
+    if (std::find(suspected_by.begin(), suspected_by.end(), name_) != suspected_by.end())
+      health_penalty_ = std::min(health_penalty_ + 1, kMaxHealthPenalty);
+    const bool suspected = update.state == MemberState::suspected;
+    const bool failed = update.state == MemberState::failed;
+    update_member(name, [&](Member& m) {
+      copy_update(m, update, suspected || failed ? update.reported_by : update.name);
+      if (suspected) m.state = MemberState::alive;
     });
-    if (accused && !w.reported_by.empty()) suspect(name, w.incarnation, w.reported_by);
+    if (suspected && !update.reported_by.empty()) suspect(name, update.incarnation, update.reported_by);
   }
 
-  void of_stranger(const Sender& from, const MemberUpdate& w) {
-    if (w.state == MemberState::joining || w.state == MemberState::left) return;
-    // The dead are learned of while this node is new. Later they would come back from others as soon as they
-    // are forgotten here.
-    if (w.state == MemberState::failed && now_ - joined_at_ > interval_ * kLearnsDead) return;
+  void add_member(const Sender& from, const MemberUpdate& update) {
+    if (update.state == MemberState::joining || update.state == MemberState::left) return;
+    // Failed members are added only while this node is new. Later, those that it has forgotten would come
+    // back from others that still remember them.
+    if (update.state == MemberState::failed && now_ - joined_at_ > interval_ * kLearnFailedIntervals) return;
     if (!make_room()) return;
-    const auto it = members_.try_emplace(std::string(w.name)).first;
+    const auto it = members_.try_emplace(std::string(update.name)).first;
     Entry& e = it->second;
-    const bool accused = w.state == MemberState::suspected;
-    take_facts(e.facts, w, accused || is_terminal(w.state) ? w.reported_by : from.name);
-    if (accused) e.facts.state = MemberState::alive;
-    e.facts.since = now_;
-    digest(it->first, e.facts, Way::in);
-    // Drawn into the present round at a place by chance, so that it is not left for the next.
-    if (reachable(it->first, e)) {
-      order_.push_back(it->first);
-      if (next_ < order_.size()) std::swap(order_.back(), order_[next_ + below(order_.size() - next_)]);
+    const bool suspected = update.state == MemberState::suspected;
+    copy_update(e.member, update, suspected || is_terminal(update.state) ? update.reported_by : from.name);
+    if (suspected) e.member.state = MemberState::alive;
+    e.member.since = now_;
+    update_digest(it->first, e.member, DigestOp::add);
+    // Inserted at a random position of the current probe round instead of waiting for the next one.
+    if (is_active_peer(it->first, e)) {
+      probe_order_.push_back(it->first);
+      if (next_probe_ < probe_order_.size())
+        std::swap(probe_order_.back(),
+                  probe_order_[next_probe_ + random_index(probe_order_.size() - next_probe_)]);
     }
-    tell(it->first, from.from_sync);
-    delegate_.on_member_changed(it->first, e.facts, true);
-    if (accused && !w.reported_by.empty()) suspect(it->first, w.incarnation, w.reported_by);
+    queue_update(it->first, from.from_sync);
+    delegate_.on_member_changed(it->first, e.member, true);
+    if (suspected && !update.reported_by.empty()) suspect(it->first, update.incarnation, update.reported_by);
   }
 
-  void of_myself(const Sender& from, const MemberUpdate& w) {
-    doubted_ = true;
+  void handle_own_update(const Sender& from, const MemberUpdate& update) {
+    self_mentioned_ = true;
     const Member& m = me();
-    // Of this very process, or of one before it at the same address.
-    if (w.generation == m.generation && w.address == m.address) {
-      if (w.state == MemberState::failed || w.state == MemberState::left) {
+    // About this process.
+    if (update.generation == m.generation && update.address == m.address) {
+      if (update.state == MemberState::failed || update.state == MemberState::left) {
         if (m.state == MemberState::leaving) return;
-        // The smaller part yields, so that one node that was cut off does not make all others start anew.
+        // The smaller partition yields, so that a single node that was cut off does not force all others into
+        // a new generation.
         if (outweighs(from)) return;
-        health_ = std::min(health_ + 1, kMostHealth);
-        pardon();
-        start_anew(w.generation);
-      } else if (w.incarnation > m.incarnation ||
-                 (w.state == MemberState::suspected && w.incarnation == m.incarnation)) {
+        health_penalty_ = std::min(health_penalty_ + 1, kMaxHealthPenalty);
+        recheck_failed();
+        advance_generation(update.generation);
+      } else if (update.incarnation > m.incarnation ||
+                 (update.state == MemberState::suspected && update.incarnation == m.incarnation)) {
         if (m.state == MemberState::joining) return;
-        health_ = std::min(health_ + 1, kMostHealth);
-        change(name_, [&](Member& now) { now.incarnation = w.incarnation + 1; });
-        if (!silent()) send_gossip(MessageKind::gossip, from.address, next_nonce(), name_);
+        health_penalty_ = std::min(health_penalty_ + 1, kMaxHealthPenalty);
+        update_member(name_, [&](Member& now) { now.incarnation = update.incarnation + 1; });
+        if (!is_muted()) send_gossip(MessageKind::gossip, from.address, next_nonce(), name_);
       }
       return;
     }
-    if (w.generation < m.generation && w.address == m.address) return;
-    if (is_terminal(w.state) || w.address == m.address) {
-      if (w.generation >= m.generation && !silent()) start_anew(w.generation);
+    // About an earlier process at the same address.
+    if (update.generation < m.generation && update.address == m.address) return;
+    if (is_terminal(update.state) || update.address == m.address) {
+      if (update.generation >= m.generation && !is_muted()) advance_generation(update.generation);
       return;
     }
-    // Another process of this name at another address: the younger one has to go.
-    if (w.state == MemberState::joining || w.state == MemberState::leaving) return;
-    highest_rival_ = std::max(highest_rival_, w.generation);
-    if (claiming_ || rival_) return;
-    claiming_ = true;
-    rival_at_ = w.address;
-    send_claim(rival_at_, next_nonce());
-    wake(interval_ * kClaimWaits / 2, Due::claimed, ++claim_turn_);
-  }
-
-  // What this node believed while it was cut off is asked anew: whoever answers has run all the time.
-  void pardon() {
-    for (News& n : members_) {
-      if (n.second.facts.state != MemberState::failed) continue;
-      n.second.pardoned_until = now_ + interval_ * kPardon;
-      unspread(n);
+    // Another process uses this name at another address: the one that started later must stay out.
+    if (update.state == MemberState::joining || update.state == MemberState::leaving) return;
+    highest_rival_generation_ = std::max(highest_rival_generation_, update.generation);
+    if (claim_pending_ || name_taken_) return;
+    claim_pending_ = true;
+    rival_address_ = update.address;
+    send_claim(rival_address_, next_nonce());
+    set_timer(interval_ * kClaimTimeoutIntervals / 2, Timer::claim_timeout, ++claim_seq_);
+  }
+
+  // After a partition: members that this node marked as failed while it was cut off get the chance to answer;
+  // an ack proves that they were running all the time.
+  void recheck_failed() {
+    for (GossipEntry& entry : members_) {
+      if (entry.second.member.state != MemberState::failed) continue;
+      entry.second.recheck_until = now_ + interval_ * kRecheckIntervals;
+      dequeue_update(entry);
     }
   }
 
-  // How much this node's verdicts are worth: members that it holds to be well, as far as its own last probes
-  // were answered.
+  // How far this node's failure reports can be trusted: the number of members it considers healthy times the
+  // number of its last eight probes that were answered. Compared between the two sides of a partition.
   std::uint32_t weight() const {
-    return static_cast<std::uint32_t>(well_) * static_cast<std::uint32_t>(std::popcount(answers_));
+    return static_cast<std::uint32_t>(healthy_count_) *
+           static_cast<std::uint32_t>(std::popcount(probe_history_));
   }
   bool outweighs(const Sender& other) const {
     return std::pair(weight(), digest()) > std::pair(other.weight, other.digest);
   }
 
-  bool pardoned(const Entry& e) const { return e.pardoned_until > now_; }
+  bool is_rechecked(const Entry& e) const { return e.recheck_until > now_; }
 
-  // Two processes of one name.
+  // Two processes with the same name.
 
   void send_claim(const Address& to, Nonce nonce) {
-    DatagramWriter writer(MessageKind::name_claim, fleet_, from(), nonce);
-    writer.name_claim(now_ - began_);
-    send(to, writer, Rank::owed);
+    DatagramWriter writer(MessageKind::name_claim, fleet_, local_sender(), nonce);
+    writer.name_claim(now_ - started_at_);
+    send(to, writer, Priority::high);
   }
 
   void on_name_claim(const Sender& from, Micros running) override {
     if (from.name != name_ || from.address == me().address) return;
-    const Micros own = now_ - began_;
-    const bool elder = own != running ? own > running : me().address < from.address;
-    highest_rival_ = std::max(highest_rival_, from.generation);
-    if (elder && !rival_) {
-      // What was believed of the younger one is over.
+    const Micros uptime = now_ - started_at_;
+    const bool older = uptime != running ? uptime > running : me().address < from.address;
+    highest_rival_generation_ = std::max(highest_rival_generation_, from.generation);
+    if (older && !name_taken_) {
+      // A later generation supersedes what the fleet has learned of the younger process.
       send_claim(from.address, next_nonce());
-      if (from.generation >= me().generation) start_anew(from.generation);
+      if (from.generation >= me().generation) advance_generation(from.generation);
       return;
     }
-    if (elder) return;
-    rival_at_ = from.address;
-    rival_heard_ = now_;
-    claiming_ = false;
-    ++claim_turn_;
-    if (!std::exchange(rival_, true)) {
+    if (older) return;
+    rival_address_ = from.address;
+    rival_heard_at_ = now_;
+    claim_pending_ = false;
+    ++claim_seq_;
+    if (!std::exchange(name_taken_, true)) {
       char line[200];
       std::snprintf(line, sizeof line,
                     "name-in-use name=%s elder=%s elder_running_ms=%lld; this node stays out", name_.c_str(),
                     to_text(from.address).c_str(), static_cast<long long>(running.count() / 1000));
       delegate_.log(line);
-      change(name_, [](Member& m) { m.state = MemberState::joining; });
-      news_.clear();
-      for (auto& [name, e] : members_) e.sends = 0;
+      update_member(name_, [](Member& m) { m.state = MemberState::joining; });
+      gossip_queue_.clear();
+      for (auto& [name, e] : members_) e.transmits_left = 0;
     }
-    wake(jittered(interval_ * kSeedMost, 0.3), Due::claimed, claim_turn_);
+    set_timer(jittered(interval_ * kMaxSeedRetryIntervals, 0.3), Timer::claim_timeout, claim_seq_);
   }
 
-  void claim_over() {
-    if (rival_) {
-      // Asked again and again, for ever: the elder may have gone.
-      if (now_ - rival_heard_ < interval_ * 3 * kSeedMost) {
-        send_claim(rival_at_, next_nonce());
-        return wake(jittered(interval_ * kSeedMost, 0.3), Due::claimed, claim_turn_);
+  void claim_expired() {
+    if (name_taken_) {
+      // Repeated indefinitely, since the older process may exit.
+      if (now_ - rival_heard_at_ < interval_ * 3 * kMaxSeedRetryIntervals) {
+        send_claim(rival_address_, next_nonce());
+        return set_timer(jittered(interval_ * kMaxSeedRetryIntervals, 0.3), Timer::claim_timeout, claim_seq_);
       }
-      rival_ = false;
+      name_taken_ = false;
     }
-    if (claiming_ && claim_tries_++ % 2 == 0) {
-      send_claim(rival_at_, next_nonce());
-      return wake(interval_ * kClaimWaits / 2, Due::claimed, claim_turn_);
+    if (claim_pending_ && claim_attempts_++ % 2 == 0) {
+      send_claim(rival_address_, next_nonce());
+      return set_timer(interval_ * kClaimTimeoutIntervals / 2, Timer::claim_timeout, claim_seq_);
     }
-    claiming_ = false;
-    start_anew(highest_rival_);
+    claim_pending_ = false;
+    advance_generation(highest_rival_generation_);
     if (joined()) return;
-    // Whoever answers now knows of nobody else of this name.
-    seed_pause_ = Micros{0};
-    ask_seeds();
+    // Any seed that answers now knows no other process of this name.
+    seed_retry_delay_ = Micros{0};
+    ping_seeds();
     join("the name is free");
   }
 
-  // Whole views, piece by piece.
+  // Anti-entropy sync of whole views.
 
   void start_sync(const Address& with) {
-    if (silent()) return;
-    synced_at_ = now_;
-    DatagramWriter writer(MessageKind::sync_digest, fleet_, from(), next_nonce());
+    if (is_muted()) return;
+    last_sync_at_ = now_;
+    DatagramWriter writer(MessageKind::sync_digest, fleet_, local_sender(), next_nonce());
     writer.sync_digest(false, buckets_);
-    send(with, writer, Rank::spare);
+    send(with, writer, Priority::low);
   }
 
   void on_sync_digest(const Sender& from, bool answered,
                       std::span<const std::uint64_t, kDigestBuckets> digests) override {
-    if (silent() || !joined()) return;
-    std::vector<MemberUpdate> words;
+    if (is_muted() || !joined()) return;
+    std::vector<MemberUpdate> updates;
     for (const auto& [name, e] : members_) {
-      if (e.facts.state == MemberState::joining || pardoned(e)) continue;
-      if (digests[bucket(name)] != buckets_[bucket(name)]) words.push_back(update_of(name, e.facts));
+      if (e.member.state == MemberState::joining || is_rechecked(e)) continue;
+      if (digests[bucket_of(name)] != buckets_[bucket_of(name)]) updates.push_back(update_of(name, e.member));
     }
-    // Where they differ by more than one answer holds, a part drawn by chance; the next ones bring the rest.
-    if (!words.empty())
-      std::rotate(words.begin(), words.begin() + static_cast<std::ptrdiff_t>(below(words.size())),
-                  words.end());
-    std::size_t at = 0;
-    for (std::size_t n = 0; n < kSyncDatagrams && at < words.size(); ++n) {
-      DatagramWriter writer(MessageKind::sync_updates, fleet_, this->from(), next_nonce());
-      while (at < words.size() && writer.add(words[at])) ++at;
-      send(from.address, writer, Rank::spare);
+    // If the differences exceed one reply, it starts at a random position; later syncs bring the rest.
+    if (!updates.empty())
+      std::rotate(updates.begin(),
+                  updates.begin() + static_cast<std::ptrdiff_t>(random_index(updates.size())), updates.end());
+    std::size_t next = 0;
+    for (std::size_t n = 0; n < kMaxSyncDatagrams && next < updates.size(); ++n) {
+      DatagramWriter writer(MessageKind::sync_updates, fleet_, local_sender(), next_nonce());
+      while (next < updates.size() && writer.add(updates[next])) ++next;
+      send(from.address, writer, Priority::low);
     }
     if (answered) return;
-    DatagramWriter back(MessageKind::sync_digest, fleet_, this->from(), next_nonce());
-    back.sync_digest(true, buckets_);
-    send(from.address, back, Rank::spare);
+    DatagramWriter reply(MessageKind::sync_digest, fleet_, local_sender(), next_nonce());
+    reply.sync_digest(true, buckets_);
+    send(from.address, reply, Priority::low);
   }
 
-  // For those who look on.
+  // View queries.
 
-  // Whoever is asked anew is in doubt.
-  MemberUpdate shown(std::string_view name, const Entry& e) const {
-    MemberUpdate out = update_of(name, e.facts);
-    if (pardoned(e)) out.state = MemberState::suspected;
+  // As shown to observers: a member that is being rechecked counts as suspected.
+  MemberUpdate public_update(std::string_view name, const Entry& e) const {
+    MemberUpdate out = update_of(name, e.member);
+    if (is_rechecked(e)) out.state = MemberState::suspected;
     return out;
   }
 
   void on_view_query(Nonce nonce, std::string_view after) override {
-    DatagramWriter writer(MessageKind::view_page, fleet_, from(), nonce);
     auto it = after.empty() ? members_.begin() : members_.upper_bound(after);
-    // The mark whether it is the last stands before the words: it is known only when they have been tried.
-    DatagramWriter tried(MessageKind::view_page, fleet_, from(), nonce);
-    tried.view_page(true);
+    // The flag for the last page precedes the updates, but is known only once they have been added. So the
+    // page is written as the last one, and written again without the flag if not everything fits.
+    DatagramWriter last_page(MessageKind::view_page, fleet_, local_sender(), nonce);
+    last_page.view_page(true);
     auto end = it;
     for (; end != members_.end(); ++end) {
-      if (end->second.facts.state == MemberState::left) continue;
-      if (!tried.add(shown(end->first, end->second), now_ - end->second.facts.since)) break;
+      if (end->second.member.state == MemberState::left) continue;
+      if (!last_page.add(public_update(end->first, end->second), now_ - end->second.member.since)) break;
     }
-    if (end == members_.end()) return show(tried);
-    writer.view_page(false);
+    if (end == members_.end()) return send_view_page(last_page);
+    DatagramWriter page(MessageKind::view_page, fleet_, local_sender(), nonce);
+    page.view_page(false);
     for (; it != end; ++it)
-      if (it->second.facts.state != MemberState::left)
-        writer.add(shown(it->first, it->second), now_ - it->second.facts.since);
-    show(writer);
+      if (it->second.member.state != MemberState::left)
+        page.add(public_update(it->first, it->second), now_ - it->second.member.since);
+    send_view_page(page);
   }
 
-  void complain(DecodeError wrong) {
-    if (complained_at_ != kNever && now_ - complained_at_ < 10s) return;
-    complained_at_ = now_;
+  // At most one line per 10 s.
+  void log_dropped(DecodeError error) {
+    if (drop_logged_at_ != kNever && now_ - drop_logged_at_ < 10s) return;
+    drop_logged_at_ = now_;
     char line[160];
-    std::snprintf(line, sizeof line, "datagram dropped why=%s from=%s", name_of(wrong),
-                  to_text(came_from_).c_str());
+    std::snprintf(line, sizeof line, "datagram dropped why=%s from=%s", name_of(error),
+                  to_text(source_).c_str());
     delegate_.log(line);
   }
 
-  struct Probed {
+  struct Probe {
     Nonce nonce;
     std::string name;
     Generation generation;
-    Micros at;
+    Micros sent_at;
   };
 
   ViewDelegate& delegate_;
   std::string fleet_, name_;
   std::vector<Address> seeds_;
-  std::optional<Address> met_;  // who answered and was no member then
+  std::optional<Address> unknown_responder_;  // sender of an ack that was not a member at that time
   Micros interval_, forget_;
-  std::size_t most_;
-  std::knuth_b chance_;
+  std::size_t max_members_;
+  std::knuth_b rng_;
   Entries members_;
   std::array<std::uint64_t, kDigestBuckets> buckets_{};
-  std::size_t live_ = 0, well_ = 0;  // members not gone, and those of them not suspected
-  std::vector<News*> news_;
-  std::vector<std::string> order_, look_at_;
-  std::string looked_at_;
-  std::size_t next_ = 0;
-  std::deque<Probed> probed_;  // lately, the present one last
-  std::uint64_t probe_turn_ = 0, seed_turn_ = 0, claim_turn_ = 0, nonces_ = 0;
-  std::map<std::uint64_t, Helped> helped_;
-  DecayingMean round_trip_;         // seconds
-  std::vector<std::string> nacks_;  // helpers that could not reach whom this node probes
-  int health_ = 0, claim_tries_ = 0;
-  std::uint8_t answers_ = 0;  // of the last eight probes, a bit each
-  bool answered_ = false, gossip_due_ = false, doubts_due_ = false, silent_ = false;
-  bool claiming_ = false, rival_ = false;
-  bool doubted_ = false;  // the datagram at hand speaks of this node: somebody waits for its answer
-  Address rival_at_, came_from_;
-  Generation highest_rival_;
-  Micros now_{0}, began_ = kNever, due_ = Micros::max(), refill_at_{0}, seed_pause_{0}, synced_at_{0},
-                  rival_heard_{0}, joined_at_{0}, complained_at_ = kNever;
-  double bytes_left_ = kBytesKept, shown_left_ = kBytesKept;
+  std::size_t live_count_ = 0, healthy_count_ = 0;  // members in the digest, and those of them not suspected
+  std::vector<GossipEntry*> gossip_queue_;
+  std::vector<std::string> probe_order_, verify_queue_;
+  std::string verifying_;  // taken from verify_queue_
+  std::size_t next_probe_ = 0;
+  std::deque<Probe> recent_probes_;  // the current one last
+  std::uint64_t probe_seq_ = 0, seed_seq_ = 0, claim_seq_ = 0, last_nonce_ = 0;
+  std::map<std::uint64_t, IndirectProbe> indirect_probes_;  // by the nonce of this node's ping
+  DecayingMean round_trip_;                                 // seconds
+  std::vector<std::string> nacked_by_;  // helpers that got no ack from the member being probed
+  // Local health as in Lifeguard: grows when this node's own suspicions are refuted or it was paused, shrinks
+  // with each ack, and lengthens probe intervals and timeouts.
+  int health_penalty_ = 0;
+  int claim_attempts_ = 0;
+  std::uint8_t probe_history_ = 0;  // one bit for each of the last eight probes, set if it was answered
+  bool probe_answered_ = false, gossip_timer_set_ = false, suspicion_timer_set_ = false, muted_ = false;
+  bool claim_pending_ = false, name_taken_ = false;
+  bool self_mentioned_ =
+      false;  // the current datagram has an update about this node, whose sender awaits a reply
+  Address rival_address_, source_;
+  Generation highest_rival_generation_;
+  Micros now_{0}, started_at_ = kNever, probe_due_at_ = Micros::max(), refilled_at_{0}, seed_retry_delay_{0},
+                  last_sync_at_{0}, rival_heard_at_{0}, joined_at_{0}, drop_logged_at_ = kNever;
+  double send_budget_ = kSendBurstBytes, query_budget_ = kSendBurstBytes;
   ViewCounters counters_;
 };
 
 View::View(ViewDelegate& delegate, std::string fleet, std::string name, Generation generation,
-           const Address& told, std::string zone, std::string version, std::vector<Address> seeds,
+           const Address& advertised, std::string zone, std::string version, std::vector<Address> seeds,
            Micros interval, Micros forget, std::size_t most, std::uint64_t seed)
-    : impl_(std::make_unique<Impl>(delegate, std::move(fleet), std::move(name), generation, told,
+    : impl_(std::make_unique<Impl>(delegate, std::move(fleet), std::move(name), generation, advertised,
                                    std::move(zone), std::move(version), std::move(seeds), interval, forget,
                                    most, seed)) {}
 View::~View() = default;
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -91,20 +91,20 @@
 flintweir_flaw(views-never-exchanged members view-settled src/members/view.cpp
   "if (from.digest != digest() && joined()" "if (from.digest == digest() && joined()")
 flintweir_flaw(verdict-at-once members view-false src/members/view.cpp
-  "kLeastDoubt = 4;" "kLeastDoubt = 0;")
+  "kMinSuspicionIntervals = 4;" "kMinSuspicionIntervals = 0;")
 flintweir_flaw(larger-part-yields members view-false src/members/view.cpp
   "if (outweighs(from)) return;" "")
 flintweir_flaw(verdict-never members view-ghost src/members/view.cpp
-  "kLeastDoubt = 4;" "kLeastDoubt = 4000;")
+  "kMinSuspicionIntervals = 4;" "kMinSuspicionIntervals = 4000;")
 flintweir_flaw(dead-raised members view-back src/members/view.cpp
-  "    if (is_terminal(m.state)) {" "    if (is_terminal(m.state) && w.state != MemberState::alive) {"
-  "        if (w.incarnation > m.incarnation) newer(w.name, w);" "        newer(w.name, w);")
+  "    if (is_terminal(m.state)) {" "    if (is_terminal(m.state) && update.state != MemberState::alive) {"
+  "        if (update.incarnation > m.incarnation) apply_newer(update.name, update);" "        apply_newer(update.name, update);")
 flintweir_flaw(start-goes-back members view-back src/members/view.cpp
-  "    if (w.generation < m.generation) return;" "    if (w.generation < m.generation) return newer(w.name, w);")
+  "    if (update.generation < m.generation) return;" "    if (update.generation < m.generation) return apply_newer(update.name, update);")
 flintweir_flaw(gossip-without-end members view-bound src/members/view.cpp
-  "kGossipParts = 3;" "kGossipParts = 100;"
-  "      --(*it)->second.sends;" ""
-  "kBytesPerSecond = 64 << 10" "kBytesPerSecond = 64 << 20" "kBytesKept = 16 << 10" "kBytesKept = 16 << 20")
+  "kGossipRoundsPerInterval = 3;" "kGossipRoundsPerInterval = 100;"
+  "      --(*it)->second.transmits_left;" ""
+  "kSendBytesPerSecond = 64 << 10" "kSendBytesPerSecond = 64 << 20" "kSendBurstBytes = 16 << 10" "kSendBurstBytes = 16 << 20")
 flintweir_flaw(verdict-not-logged members view-log src/node/fleet_member.cpp
   "  log_line(\"member name" "  if (now.state != members::MemberState::failed) log_line(\"member name")
 
