--- a/src/leases/candidate.h
+++ b/src/leases/candidate.h
@@ -1,6 +1,6 @@
-// One would-be holder of one lease: asks the voters, holds while a majority of them grants, and hands out
-// acts. No I/O and no clock: the caller says the time with at(), of a clock that goes on while the machine
-// sleeps.
+// Client side of one lease: contends for it, renews it while it is held, and admits operations under it. No
+// I/O and no clock: the caller passes the time with set_time(), of a clock that keeps running while the
+// machine is suspended.
 #pragma once
 
 #include <optional>
@@ -19,83 +19,88 @@
    public:
     virtual ~Delegate() = default;
     virtual void send_request(VoterIndex voter, const Request& request) = 0;  // may be lost
+    // Calls timer_expired(timer) after the delay.
     virtual void set_timer(Micros delay, TimerId timer) = 0;
     virtual void on_acquired(Token token) = 0;
     virtual void on_lost(Token token, std::string_view why) = 0;
-    virtual void on_waiting(
-        std::string_view why) = 0;  // why nobody holds it here, each time that it is another reason
+    // Why the lease is not held; called whenever the reason changes.
+    virtual void on_waiting(std::string_view why) = 0;
   };
 
-  // One act of the holder's, from its making to its end; while any is open the lease is not let go.
+  // An operation under the lease, which ends with this object. The lease is not released while one is open.
   class Operation {
    public:
-    Operation(Operation&& o) noexcept : of_(std::exchange(o.of_, nullptr)), token_(o.token_) {}
+    Operation(Operation&& o) noexcept : owner_(std::exchange(o.owner_, nullptr)), token_(o.token_) {}
     ~Operation() {
-      if (of_) of_->act_over();
+      if (owner_) owner_->end_operation();
     }
     Token token() const { return token_; }
 
    private:
     friend class Candidate;
-    Operation(Candidate& of, Token token) : of_(&of), token_(token) {}
-    Candidate* of_;
+    Operation(Candidate& owner, Token token) : owner_(&owner), token_(token) {}
+    Candidate* owner_;
     Token token_;
   };
 
-  // `voters`: of the set, a majority of which grants. `base`: no token of this seeker's is smaller.
-  Candidate(Delegate& delegate, std::string lease, std::size_t voters, Micros length, Token base,
+  // `voters`: their number; a majority of them grants the lease. `min_token`: all tokens of this candidate
+  // are larger. `seed`: of the random delays.
+  Candidate(Delegate& delegate, std::string lease, std::size_t voters, Micros duration, Token min_token,
             std::uint64_t seed);
 
-  // The same, in the same state, for another outlet; without its acts.
-  Candidate(const Candidate& of, Delegate& delegate);
+  // Copies the state for another delegate; open operations are not copied.
+  Candidate(const Candidate& other, Delegate& delegate);
 
+  // Sets the current time; call it before any other call.
   void set_time(Micros now);
+  // Starts to contend for the lease.
   void acquire();
-  // Asks for it no more, and tells the voters as soon as no act is open.
+  // Stops contending, and releases the lease as soon as no operation is open.
   void release();
   void on_reply(VoterIndex voter, const Reply& reply);
   void timer_expired(TimerId timer);
-  // Whoever was acted on has seen a larger token.
-  void observe_token(Token token) { seen_ = std::max(seen_, token); }
+  // Reports that a resource protected by the lease has seen this token; later ones will be larger.
+  void observe_token(Token token) { highest_seen_ = std::max(highest_seen_, token); }
 
-  // An act that takes at most so long, or none where that does not fit into what is left of the lease.
+  // Admits an operation that takes at most that long; nullopt if the lease is not held for long enough.
   std::optional<Operation> begin_operation(Micros max_duration);
 
-  bool holds() const { return phase_ == Phase::holding && now_ < end_; }
+  bool holds() const { return phase_ == Phase::holding && now_ < expires_; }
   Token token() const { return token_; }
-  Micros remaining() const { return holds() ? end_ - now_ : Micros{0}; }
-  // All that its next moves hang on, but for chance; times from now on.
+  Micros remaining() const { return holds() ? expires_ - now_ : Micros{0}; }
+  // Appends all state that the next steps depend on, except the random numbers; times are relative to now.
   void append_state(std::string& out) const;
   const std::string& lease() const { return lease_; }
-  const std::string& holder() const { return holder_; }  // as last heard of, where another holds it
+  const std::string& holder() const { return holder_; }  // another client, as last reported by a voter
 
  private:
-  enum class Phase { idle, waiting, promising, granting, holding };
-  enum class Due : std::uint64_t { again = 1, renew, end };
-  void wake(Micros in, Due due);
+  enum class Phase { idle, waiting, preparing, granting, holding };
+  enum class Timer : std::uint64_t { retry = 1, renew, expire };
+  void set_timer(Micros delay, Timer timer);
   void begin_round();
-  void ask_all(RequestKind ask);
-  void ask_one(VoterIndex voter, RequestKind ask);
+  void send_to_all(RequestKind kind);
+  void send_to(VoterIndex voter, RequestKind kind);
   void renew();
-  void wait(Micros in, std::string_view why);
+  void wait(Micros delay, std::string_view why);
   void lose(std::string_view why);
-  void act_over();
-  void give_back();
-  bool majority(std::uint64_t who) const;
-  Micros drawn(Micros most);
+  void end_operation();
+  void release_now();
+  bool is_majority(std::uint64_t voters) const;
+  Micros random_delay(Micros max_delay);
 
   Delegate& delegate_;
-  std::string lease_, holder_, why_;
+  std::string lease_, holder_, wait_reason_;
   std::size_t voters_;
-  Micros length_, now_{0}, sent_at_{0}, end_{0}, held_for_{0};
-  std::knuth_b chance_;
+  Micros duration_, now_{0}, sent_at_{0}, expires_{0}, held_for_{0};
+  std::knuth_b rng_;
   Phase phase_ = Phase::idle;
-  Token seen_, token_;
+  Token highest_seen_, token_;
   Round round_;
-  std::uint64_t yes_ = 0, no_ = 0;  // of this round, a bit a voter
-  std::uint64_t turn_ = 0;
-  int tries_ = 0, acts_ = 0;
-  bool wanted_ = false, in_line_ = false;  // at any voter, in this round
+  std::uint64_t accepted_ = 0, rejected_ = 0;  // in this round, one bit per voter
+  std::uint64_t timer_seq_ = 0;
+  int attempts_ = 0, open_operations_ = 0;
+  bool wanted_ = false;
+  bool queued_ = false;  // by any voter in this round
 };
 
 }  // namespace flintweir::leases
--- a/src/leases/datagram.cpp
+++ b/src/leases/datagram.cpp
@@ -7,24 +7,25 @@
 
 using namespace packing;
 
-constexpr char kMark[2] = {'f', 'l'};
-constexpr char kVersion = 1;
-constexpr std::size_t kMostItems = 64;
+constexpr char kMagic[2] = {'f', 'l'};
+constexpr char kProtocolVersion = 1;
+constexpr std::size_t kMaxItems = 64;
 
-Micros micros(std::uint64_t n) { return Micros{static_cast<std::int64_t>(n & INT64_MAX)}; }
+Micros to_micros(std::uint64_t n) { return Micros{static_cast<std::int64_t>(n & INT64_MAX)}; }
 
 template <class Enum>
-Enum one_of(std::uint64_t n, Enum last) {
+Enum checked_enum(std::uint64_t n, Enum last) {
   if (n < 1 || n > static_cast<std::uint64_t>(last)) throw Malformed();
   return static_cast<Enum>(n);
 }
 
-void hear(DatagramWriter::Kind kind, std::string_view bytes, DatagramHandler& handler) {
+void decode_body(DatagramWriter::Kind kind, std::string_view bytes, DatagramHandler& handler) {
   const msgpack::unpack_limit limit(16, 0, 256, 256, 0, 3);
-  std::size_t at = 0;
-  std::vector<msgpack::object_handle> kept;
+  std::size_t offset = 0;
+  std::vector<msgpack::object_handle> handles;  // own what the decoded texts refer to
   const auto next = [&]() -> const msgpack::object& {
-    return kept.emplace_back(msgpack::unpack(bytes.data(), bytes.size(), at, nullptr, nullptr, limit)).get();
+    return handles.emplace_back(msgpack::unpack(bytes.data(), bytes.size(), offset, nullptr, nullptr, limit))
+        .get();
   };
   FieldReader head(next());
   Sender from;
@@ -34,67 +35,68 @@
   const bool last = kind == DatagramWriter::Kind::status_page && head.read_number() != 0;
   std::vector<Request> requests;
   std::vector<Reply> replies;
-  std::vector<LeaseStatus> shown;
-  for (std::size_t items = 0; at < bytes.size(); ++items) {
-    if (items == kMostItems) throw Malformed();
+  std::vector<LeaseStatus> statuses;
+  for (std::size_t items = 0; offset < bytes.size(); ++items) {
+    if (items == kMaxItems) throw Malformed();
     FieldReader f(next());
     if (kind == DatagramWriter::Kind::requests) {
-      Request r;
-      r.kind = one_of(f.read_number(), RequestKind::query);
-      r.lease = f.read_text(kMaxLeaseNameBytes);
-      r.token = Token{f.read_number()};
-      r.round = Round{f.read_number()};
-      r.duration = micros(f.read_number());
-      requests.push_back(r);
+      Request request;
+      request.kind = checked_enum(f.read_number(), RequestKind::query);
+      request.lease = f.read_text(kMaxLeaseNameBytes);
+      request.token = Token{f.read_number()};
+      request.round = Round{f.read_number()};
+      request.duration = to_micros(f.read_number());
+      requests.push_back(request);
     } else if (kind == DatagramWriter::Kind::replies) {
-      Reply r;
-      r.kind = one_of(f.read_number(), ReplyKind::queued);
-      r.lease = f.read_text(kMaxLeaseNameBytes);
-      r.token = Token{f.read_number()};
-      r.round = Round{f.read_number()};
-      r.highest_promised = Token{f.read_number()};
-      r.holder = f.read_text(kMaxParticipantBytes);
-      r.remaining = micros(f.read_number());
-      replies.push_back(r);
+      Reply reply;
+      reply.kind = checked_enum(f.read_number(), ReplyKind::queued);
+      reply.lease = f.read_text(kMaxLeaseNameBytes);
+      reply.token = Token{f.read_number()};
+      reply.round = Round{f.read_number()};
+      reply.highest_promised = Token{f.read_number()};
+      reply.holder = f.read_text(kMaxParticipantBytes);
+      reply.remaining = to_micros(f.read_number());
+      replies.push_back(reply);
     } else {
-      LeaseStatus s;
-      s.lease = f.read_text(kMaxLeaseNameBytes);
-      s.holder = f.read_text(kMaxParticipantBytes);
-      s.token = Token{f.read_number()};
-      s.remaining = micros(f.read_number());
-      s.waiting = static_cast<std::uint32_t>(f.read_number());
-      shown.push_back(s);
+      LeaseStatus status;
+      status.lease = f.read_text(kMaxLeaseNameBytes);
+      status.holder = f.read_text(kMaxParticipantBytes);
+      status.token = Token{f.read_number()};
+      status.remaining = to_micros(f.read_number());
+      status.waiting = static_cast<std::uint32_t>(f.read_number());
+      statuses.push_back(status);
     }
   }
-  for (const Request& r : requests) handler.on_request(from, r);
-  for (const Reply& r : replies) handler.on_reply(from, r);
-  for (const LeaseStatus& s : shown) handler.on_lease_status(from, s);
+  for (const Request& request : requests) handler.on_request(from, request);
+  for (const Reply& reply : replies) handler.on_reply(from, reply);
+  for (const LeaseStatus& status : statuses) handler.on_lease_status(from, status);
   if (kind == DatagramWriter::Kind::status_page) handler.on_status_page(from, last);
 }
 
-std::uint64_t number(Micros t) { return static_cast<std::uint64_t>(std::max<std::int64_t>(t.count(), 0)); }
+std::uint64_t to_number(Micros t) { return static_cast<std::uint64_t>(std::max<std::int64_t>(t.count(), 0)); }
 
 }  // namespace
 
 std::uint64_t voter_set_id(const std::vector<std::string>& voters, Micros duration) {
-  std::uint64_t h = static_cast<std::uint64_t>(duration.count());
-  for (const std::string& v : voters) h = XXH3_64bits_withSeed(v.data(), v.size(), h);
-  return h;
+  std::uint64_t hash = static_cast<std::uint64_t>(duration.count());
+  for (const std::string& voter : voters) hash = XXH3_64bits_withSeed(voter.data(), voter.size(), hash);
+  return hash;
 }
 
 bool is_lease_datagram(std::string_view bytes) {
-  return bytes.size() >= kHeaderSize && bytes[0] == kMark[0] && bytes[1] == kMark[1];
+  return bytes.size() >= kHeaderSize && bytes[0] == kMagic[0] && bytes[1] == kMagic[1];
 }
 
 bool decode(std::string_view bytes, DatagramHandler& handler) {
-  if (!is_lease_datagram(bytes) || bytes.size() > kMaxDatagramBytes || bytes[2] != kVersion ||
+  if (!is_lease_datagram(bytes) || bytes.size() > kMaxDatagramBytes || bytes[2] != kProtocolVersion ||
       !has_valid_checksum(bytes))
     return false;
+  // Bytes 8 and 9: the size of an authentication tag, which this version does not know.
   if (bytes[3] < 1 || bytes[3] > static_cast<char>(DatagramWriter::Kind::status_page) || bytes[8] != 0 ||
       bytes[9] != 0)
     return false;
   try {
-    hear(static_cast<DatagramWriter::Kind>(bytes[3]), bytes.substr(kHeaderSize), handler);
+    decode_body(static_cast<DatagramWriter::Kind>(bytes[3]), bytes.substr(kHeaderSize), handler);
   } catch (const Malformed&) {
     return false;
   } catch (const msgpack::unpack_error&) {
@@ -105,7 +107,8 @@
 
 DatagramWriter::DatagramWriter(Kind kind, const Sender& sender) {
   bytes_.assign(kHeaderSize, '\0');
-  bytes_[0] = kMark[0], bytes_[1] = kMark[1], bytes_[2] = kVersion, bytes_[3] = static_cast<char>(kind);
+  bytes_[0] = kMagic[0], bytes_[1] = kMagic[1], bytes_[2] = kProtocolVersion,
+  bytes_[3] = static_cast<char>(kind);
   msgpack::sbuffer out;
   Packer p(out);
   p.pack_array(kind == Kind::status_page ? 4 : 3);
@@ -128,41 +131,41 @@
   return *this;
 }
 
-bool DatagramWriter::add(const Request& r) {
+bool DatagramWriter::add(const Request& request) {
   msgpack::sbuffer out;
   Packer p(out);
   p.pack_array(5);
-  p.pack(static_cast<std::uint8_t>(r.kind));
-  pack_text(p, r.lease);
-  p.pack(r.token.value);
-  p.pack(r.round.value);
-  p.pack(number(r.duration));
+  p.pack(static_cast<std::uint8_t>(request.kind));
+  pack_text(p, request.lease);
+  p.pack(request.token.value);
+  p.pack(request.round.value);
+  p.pack(to_number(request.duration));
   return append({out.data(), out.size()});
 }
 
-bool DatagramWriter::add(const Reply& r) {
+bool DatagramWriter::add(const Reply& reply) {
   msgpack::sbuffer out;
   Packer p(out);
   p.pack_array(7);
-  p.pack(static_cast<std::uint8_t>(r.kind));
-  pack_text(p, r.lease);
-  p.pack(r.token.value);
-  p.pack(r.round.value);
-  p.pack(r.highest_promised.value);
-  pack_text(p, r.holder);
-  p.pack(number(r.remaining));
+  p.pack(static_cast<std::uint8_t>(reply.kind));
+  pack_text(p, reply.lease);
+  p.pack(reply.token.value);
+  p.pack(reply.round.value);
+  p.pack(reply.highest_promised.value);
+  pack_text(p, reply.holder);
+  p.pack(to_number(reply.remaining));
   return append({out.data(), out.size()});
 }
 
-bool DatagramWriter::add(const LeaseStatus& s) {
+bool DatagramWriter::add(const LeaseStatus& status) {
   msgpack::sbuffer out;
   Packer p(out);
   p.pack_array(5);
-  pack_text(p, s.lease);
-  pack_text(p, s.holder);
-  p.pack(s.token.value);
-  p.pack(number(s.remaining));
-  p.pack(s.waiting);
+  pack_text(p, status.lease);
+  pack_text(p, status.holder);
+  p.pack(status.token.value);
+  p.pack(to_number(status.remaining));
+  p.pack(status.waiting);
   return append({out.data(), out.size()});
 }
 
--- a/src/leases/voter.h
+++ b/src/leases/voter.h
@@ -1,6 +1,6 @@
-// One voter: to whom it has promised and granted what. No I/O and no clock: the caller says the time, of a
-// clock that goes on while the machine sleeps. docs/design-leases.md has the argument why two never hold at
-// once.
+// One voter: what it has promised and granted to whom. No I/O and no clock: the caller passes the time, of a
+// clock that keeps running while the machine is suspended. docs/design-leases.md argues why no two clients
+// hold a lease at once.
 #pragma once
 
 #include <map>
@@ -13,8 +13,8 @@
 
 namespace flintweir::leases {
 
-// Where promises outlast the process. What keep() has taken is there at the next start, whole, whatever
-// happens after it has returned true; what it has not taken must not be answered for.
+// Keeps a voter's promises across restarts. Once save() has returned true, the record is durable and read
+// back whole at the next start, whatever happens. A promise that could not be saved must not be sent.
 class VoterStorage {
  public:
   struct Record {
@@ -27,17 +27,19 @@
 
 class Voter {
  public:
-  // `longest`: a lease that may be asked for. `floor`: promises only larger tokens; the wall clock at the
-  // start, so that tokens grow where all was forgotten. Without `folder` it answers nobody until the longest
-  // lease that it can have granted before is over; so does one whose folder is new. With `kept` it goes on.
-  Voter(Micros longest, Token floor, Micros now, VoterStorage* storage = nullptr,
-        const std::optional<std::vector<VoterStorage::Record>>& kept = std::nullopt);
+  // `max_duration`: of a lease. `floor`: only larger tokens are promised; pass the wall clock at the start,
+  // so that tokens grow even if all earlier promises are lost. `saved`: the records read from `storage`;
+  // nullopt if the storage is new. Without saved records the voter does not reply until the longest lease
+  // that it may have granted before has expired. `storage` must outlive the voter.
+  Voter(Micros max_duration, Token floor, Micros now, VoterStorage* storage = nullptr,
+        const std::optional<std::vector<VoterStorage::Record>>& saved = std::nullopt);
 
-  void set_storage(VoterStorage* storage) { storage_ = storage; }  // which holds the same as the one before
+  // Replaces the storage by another with the same contents.
+  void set_storage(VoterStorage* storage) { storage_ = storage; }
 
-  // Nothing: it says nothing. The reply's texts are good until the next call.
-  std::optional<Reply> handle(Micros now, const Request& request, std::string_view who);
-  // Who stands in line for it, and hears that it is free: at most three. They are taken out of the line.
+  // Returns the reply, if there is one; its texts are valid until the next call.
+  std::optional<Reply> handle(Micros now, const Request& request, std::string_view client);
+  // Empties the queue of the lease and returns the clients (at most three), which are to be sent `released`.
   std::vector<std::string> take_waiters(std::string_view lease);
 
   struct LeaseState {
@@ -47,7 +49,7 @@
     std::vector<std::string> waiters;
   };
   std::vector<LeaseState> list(Micros now) const;
-  // All that its next answers hang on, but for the line; times from now on.
+  // Appends all state that later replies depend on, except the queues; times are relative to now.
   void append_state(Micros now, std::string& out) const;
   bool silent(Micros now) const { return now < silent_until_; }
 
@@ -55,15 +57,15 @@
   struct Entry {
     Token promised, granted;
     std::string promised_to, holder;
-    Micros until{0};
-    std::vector<std::pair<std::string, Micros>> line;  // who, and when it last asked
+    Micros expires{0};
+    std::vector<std::pair<std::string, Micros>> queue;  // clients, and the time of their last request
   };
-  bool keep(std::string_view lease, const Entry& e);
+  bool save(std::string_view lease, const Entry& entry);
 
-  static bool in_line(Entry& e, std::string_view who, Micros now, Micros longest);
+  static bool enqueue(Entry& entry, std::string_view client, Micros now, Micros max_duration);
 
-  static constexpr std::size_t kMostLeases = 4096, kLine = 3;
-  Micros longest_, silent_until_;
+  static constexpr std::size_t kMaxLeases = 4096, kMaxQueued = 3;
+  Micros max_duration_, silent_until_;
   Token floor_;
   VoterStorage* storage_;
   std::map<std::string, Entry, std::less<>> entries_;
--- a/src/members/datagram.cpp
+++ b/src/members/datagram.cpp
@@ -10,43 +10,45 @@
 
 using namespace packing;
 
-constexpr char kMark[2] = {'f', 'w'};
+constexpr char kMagic[2] = {'f', 'w'};
 constexpr std::size_t kMaxUpdates = 64;
 
-struct Said {
+struct DecodedUpdate {
   MemberUpdate update;
   std::optional<Micros> age;
 };
 
-Said update_of(const msgpack::object& o) {
-  FieldReader f(o);
-  Said out;
-  MemberUpdate& w = out.update;
-  w.name = f.read_text(kMaxNameBytes);
-  w.generation = Generation{f.read_number()};
+DecodedUpdate decode_update(const msgpack::object& object) {
+  FieldReader f(object);
+  DecodedUpdate out;
+  MemberUpdate& update = out.update;
+  update.name = f.read_text(kMaxNameBytes);
+  update.generation = Generation{f.read_number()};
   const std::uint64_t incarnation = f.read_number(), state = f.read_number();
-  if (w.name.empty() || incarnation > UINT32_MAX || state > static_cast<std::uint64_t>(MemberState::left))
+  if (update.name.empty() || incarnation > UINT32_MAX ||
+      state > static_cast<std::uint64_t>(MemberState::left))
     throw Malformed();
-  w.incarnation = static_cast<std::uint32_t>(incarnation);
-  w.state = static_cast<MemberState>(state);
-  w.address = f.read_address();
-  w.zone = f.read_text(kMaxZoneBytes);
-  w.version = f.read_text(kMaxVersionBytes);
-  w.metadata = f.read_bytes(kMaxMetadataBytes);
-  w.reported_by = f.read_text(kMaxNameBytes);
+  update.incarnation = static_cast<std::uint32_t>(incarnation);
+  update.state = static_cast<MemberState>(state);
+  update.address = f.read_address();
+  update.zone = f.read_text(kMaxZoneBytes);
+  update.version = f.read_text(kMaxVersionBytes);
+  update.metadata = f.read_bytes(kMaxMetadataBytes);
+  update.reported_by = f.read_text(kMaxNameBytes);
   if (f.has_more()) out.age = Micros{static_cast<std::int64_t>(f.read_number() & INT64_MAX)};
   return out;
 }
 
-void hear(MessageKind kind, std::string_view bytes, std::string_view fleet, DatagramHandler& handler) {
+void decode_body(MessageKind kind, std::string_view bytes, std::string_view fleet, DatagramHandler& handler) {
   const msgpack::unpack_limit limit(kDigestBuckets + 8, 0, 256, 256, 0, 3);
-  std::size_t at = 0;
-  std::vector<msgpack::object_handle> kept;
+  std::size_t offset = 0;
+  std::vector<msgpack::object_handle> handles;  // own what the decoded texts refer to
   const auto next = [&]() -> const msgpack::object& {
-    return kept.emplace_back(msgpack::unpack(bytes.data(), bytes.size(), at, nullptr, nullptr, limit)).get();
+    return handles.emplace_back(msgpack::unpack(bytes.data(), bytes.size(), offset, nullptr, nullptr, limit))
+        .get();
   };
   FieldReader head(next());
-  // Whoever asks for a view need not know the fleet's name.
+  // A view query may come from a tool that does not know the fleet's name.
   if (head.read_text(kMaxNameBytes) != fleet && kind != MessageKind::view_query && !fleet.empty())
     throw DecodeError::fleet;
   Sender from;
@@ -58,29 +60,29 @@
   const Nonce nonce{head.read_number()};
   from.from_sync = kind == MessageKind::sync_updates;
   if (from.name.empty() != (kind == MessageKind::view_query)) throw Malformed();
-  std::string_view whom;
-  Address place;
+  std::string_view name;  // target of a ping request, or last name of the page before
+  Address address;
   std::uint64_t number = 0;
   std::array<std::uint64_t, kDigestBuckets> digests{};
   if (kind == MessageKind::ping_request) {
-    whom = head.read_text(kMaxNameBytes);
-    place = head.read_address();
+    name = head.read_text(kMaxNameBytes);
+    address = head.read_address();
   } else if (kind == MessageKind::sync_digest) {
     number = head.read_number();
-    for (std::uint64_t& d : digests) d = head.read_number();
+    for (std::uint64_t& digest : digests) digest = head.read_number();
   } else if (kind == MessageKind::name_claim || kind == MessageKind::view_page) {
     number = head.read_number();
   } else if (kind == MessageKind::view_query) {
-    whom = head.read_text(kMaxNameBytes);
+    name = head.read_text(kMaxNameBytes);
   }
-  std::vector<Said> words;
-  while (at < bytes.size()) {
-    if (words.size() == kMaxUpdates) throw Malformed();
-    words.push_back(update_of(next()));
+  std::vector<DecodedUpdate> updates;
+  while (offset < bytes.size()) {
+    if (updates.size() == kMaxUpdates) throw Malformed();
+    updates.push_back(decode_update(next()));
   }
-  for (const Said& s : words) {
-    handler.on_update(from, s.update);
-    if (s.age) handler.on_update_age(*s.age);
+  for (const auto& [update, age] : updates) {
+    handler.on_update(from, update);
+    if (age) handler.on_update_age(*age);
   }
   switch (kind) {
     case MessageKind::ping:
@@ -90,7 +92,7 @@
     case MessageKind::nack:
       return handler.on_nack(from, nonce);
     case MessageKind::ping_request:
-      return handler.on_ping_request(from, nonce, whom, place);
+      return handler.on_ping_request(from, nonce, name, address);
     case MessageKind::gossip:
     case MessageKind::sync_updates:
       return;
@@ -99,7 +101,7 @@
     case MessageKind::name_claim:
       return handler.on_name_claim(from, Micros{static_cast<std::int64_t>(number & INT64_MAX)});
     case MessageKind::view_query:
-      return handler.on_view_query(nonce, whom);
+      return handler.on_view_query(nonce, name);
     case MessageKind::view_page:
       return handler.on_view_page(from, nonce, number != 0);
   }
@@ -107,41 +109,43 @@
 
 }  // namespace
 
-const char* name_of(DecodeError wrong) {
+const char* name_of(DecodeError error) {
   constexpr const char* kNames[] = {"none", "size", "mark", "version", "checksum", "fleet", "malformed"};
-  return kNames[static_cast<std::size_t>(wrong)];
+  return kNames[static_cast<std::size_t>(error)];
 }
 
 DecodeError decode(std::string_view bytes, std::string_view fleet, DatagramHandler& handler) {
   if (bytes.size() < kHeaderSize || bytes.size() > kMaxDatagramBytes) return DecodeError::size;
-  if (bytes[0] != kMark[0] || bytes[1] != kMark[1]) return DecodeError::mark;
+  if (bytes[0] != kMagic[0] || bytes[1] != kMagic[1]) return DecodeError::mark;
   if (static_cast<std::uint8_t>(bytes[2]) != kProtocolVersion) return DecodeError::version;
   if (!has_valid_checksum(bytes)) return DecodeError::checksum;
   const auto kind = static_cast<std::uint8_t>(bytes[3]);
   if (kind < 1 || kind > static_cast<std::uint8_t>(MessageKind::sync_updates)) return DecodeError::malformed;
-  if (bytes[8] != 0 || bytes[9] != 0) return DecodeError::malformed;  // sealed: this version knows no seals
+  if (bytes[8] != 0 || bytes[9] != 0)
+    return DecodeError::malformed;  // an authentication tag, which this version does not know
   try {
-    hear(static_cast<MessageKind>(kind), bytes.substr(kHeaderSize), fleet, handler);
+    decode_body(static_cast<MessageKind>(kind), bytes.substr(kHeaderSize), fleet, handler);
   } catch (const Malformed&) {
     return DecodeError::malformed;
   } catch (const msgpack::unpack_error&) {
     return DecodeError::malformed;
-  } catch (const DecodeError& wrong) {
-    return wrong;
+  } catch (const DecodeError& error) {
+    return error;
   }
   return DecodeError::none;
 }
 
 DatagramWriter::DatagramWriter(MessageKind kind, std::string_view fleet, const Sender& from, Nonce nonce) {
   bytes_.assign(kHeaderSize, '\0');
-  bytes_[0] = kMark[0];
-  bytes_[1] = kMark[1];
+  bytes_[0] = kMagic[0];
+  bytes_[1] = kMagic[1];
   bytes_[2] = static_cast<char>(kProtocolVersion);
   bytes_[3] = static_cast<char>(kind);
-  constexpr std::uint32_t kOwnFields[] = {0, 7, 7, 7, 9, 7, 8 + kDigestBuckets, 8, 8, 8, 7};
+  // Fields of the first array, by MessageKind.
+  constexpr std::uint32_t kFieldCounts[] = {0, 7, 7, 7, 9, 7, 8 + kDigestBuckets, 8, 8, 8, 7};
   msgpack::sbuffer out(kMaxDatagramBytes);
   Packer p(out);
-  p.pack_array(kOwnFields[static_cast<std::size_t>(kind)]);
+  p.pack_array(kFieldCounts[static_cast<std::size_t>(kind)]);
   pack_text(p, fleet);
   pack_text(p, from.name);
   p.pack(from.generation.value);
@@ -158,11 +162,11 @@
   return true;
 }
 
-DatagramWriter& DatagramWriter::ping_request(std::string_view whom, const Address& at) {
+DatagramWriter& DatagramWriter::ping_request(std::string_view target, const Address& address) {
   msgpack::sbuffer out;
   Packer p(out);
-  pack_text(p, whom);
-  pack_address(p, at);
+  pack_text(p, target);
+  pack_address(p, address);
   append({out.data(), out.size()});
   return *this;
 }
@@ -172,14 +176,14 @@
   msgpack::sbuffer out;
   Packer p(out);
   p.pack(static_cast<std::uint8_t>(answered));
-  for (const std::uint64_t d : digests) p.pack(d);
+  for (const std::uint64_t digest : digests) p.pack(digest);
   append({out.data(), out.size()});
   return *this;
 }
 
-DatagramWriter& DatagramWriter::name_claim(Micros running) {
+DatagramWriter& DatagramWriter::name_claim(Micros uptime) {
   msgpack::sbuffer out;
-  Packer(out).pack(static_cast<std::uint64_t>(running.count()));
+  Packer(out).pack(static_cast<std::uint64_t>(uptime.count()));
   append({out.data(), out.size()});
   return *this;
 }
@@ -201,19 +205,19 @@
 
 namespace {
 
-void pack_update(msgpack::sbuffer& out, const MemberUpdate& w, std::optional<Micros> age) {
+void pack_update(msgpack::sbuffer& out, const MemberUpdate& update, std::optional<Micros> age) {
   Packer p(out);
   p.pack_array(age ? 10 : 9);
-  pack_text(p, w.name);
-  p.pack(w.generation.value);
-  p.pack(w.incarnation);
-  p.pack(static_cast<std::uint8_t>(w.state));
-  pack_address(p, w.address);
-  pack_text(p, w.zone);
-  pack_text(p, w.version);
-  p.pack_bin(static_cast<std::uint32_t>(w.metadata.size()));
-  p.pack_bin_body(w.metadata.data(), static_cast<std::uint32_t>(w.metadata.size()));
-  pack_text(p, w.reported_by);
+  pack_text(p, update.name);
+  p.pack(update.generation.value);
+  p.pack(update.incarnation);
+  p.pack(static_cast<std::uint8_t>(update.state));
+  pack_address(p, update.address);
+  pack_text(p, update.zone);
+  pack_text(p, update.version);
+  p.pack_bin(static_cast<std::uint32_t>(update.metadata.size()));
+  p.pack_bin_body(update.metadata.data(), static_cast<std::uint32_t>(update.metadata.size()));
+  pack_text(p, update.reported_by);
   if (age) p.pack(static_cast<std::uint64_t>(std::max<std::int64_t>(age->count(), 0)));
 }
 
--- a/src/members/datagram.h
+++ b/src/members/datagram.h
@@ -1,5 +1,6 @@
-// Datagrams between members: encoded, and decoded into calls. Twelve bytes of head (mark, version, kind,
-// checksum, size of a seal that is not used yet), then MessagePack. No I/O. Nothing in them is authenticated.
+// Encoding and decoding of the datagrams between members: a header of twelve bytes (magic, version, kind,
+// checksum, and the size of an authentication tag, which this version does not use), then MessagePack. No
+// I/O. Nothing in them is authenticated.
 #pragma once
 
 #include <array>
@@ -27,60 +28,63 @@
   sync_updates
 };
 
-// Who sends. The address is that told to others, which answers go to.
 struct Sender {
   std::string_view name;
   Generation generation;
-  Address address;
+  Address address;           // advertised; replies go there
   std::uint64_t digest = 0;  // of its view
-  std::uint32_t weight =
-      0;  // of its verdicts: grows with those it holds to be well, and as its probes are answered
-  bool from_sync = false;  // its words are of a view exchanged, which others get by exchange as well
+  // How far its failure reports can be trusted; grows with the members it considers healthy and with the
+  // share of its probes that were answered.
+  std::uint32_t weight = 0;
+  bool from_sync = false;  // the updates come from a sync, so others learn them by sync as well
 };
 
-// What a datagram says, in these calls: the words first, then what it is for. Nothing comes of what is not
-// heard.
+// Receives the contents of a decoded datagram: first the updates, then the message itself.
 class DatagramHandler {
  public:
   virtual void on_update(const Sender& /*from*/, const MemberUpdate& /*update*/) {}
-  virtual void on_update_age(Micros /*age*/) {}  // of the word that came just before
+  virtual void on_update_age(Micros /*age*/) {}  // time in the present state, of the update just before
   virtual void on_ping(const Sender& /*from*/, Nonce /*nonce*/) {}
   virtual void on_ack(const Sender& /*from*/, Nonce /*nonce*/) {}
   virtual void on_nack(const Sender& /*from*/, Nonce /*nonce*/) {}
-  virtual void on_ping_request(const Sender& /*from*/, Nonce /*nonce*/, std::string_view /*whom*/,
-                               const Address& /*at*/) {}
+  virtual void on_ping_request(const Sender& /*from*/, Nonce /*nonce*/, std::string_view /*target*/,
+                               const Address& /*address*/) {}
+  // `answered`: this digest is itself a reply to a digest.
   virtual void on_sync_digest(const Sender& /*from*/, bool /*answered*/,
                               std::span<const std::uint64_t, kDigestBuckets> /*digests*/) {}
-  virtual void on_name_claim(const Sender& /*from*/, Micros /*running*/) {}
+  virtual void on_name_claim(const Sender& /*from*/, Micros /*uptime*/) {}
+  // Asks for the members whose names sort after `after`.
   virtual void on_view_query(Nonce /*nonce*/, std::string_view /*after*/) {}
-  // One part of an answer to a query; `last`: nothing follows. Words come before it, each with its age.
+  // One page of the reply to a view query, after its updates and their ages.
   virtual void on_view_page(const Sender& /*from*/, Nonce /*nonce*/, bool /*last*/) {}
 
  protected:
   ~DatagramHandler() = default;
 };
 
-// What is wrong with a datagram that is dropped.
+// Why a datagram is dropped; `mark` stands for a wrong magic number.
 enum class DecodeError { none, size, mark, version, checksum, fleet, malformed };
-const char* name_of(DecodeError wrong);
+const char* name_of(DecodeError error);
 
-// All of it is looked through before the first call. An empty fleet: any.
+// Validates the whole datagram before the first call to the handler. An empty `fleet` accepts any fleet.
 DecodeError decode(std::string_view bytes, std::string_view fleet, DatagramHandler& handler);
 
-// Writes the checksum of the rest into a datagram's head.
+// Computes the checksum and writes it into the header.
 void write_checksum(std::string& bytes);
 
-// Puts one datagram together.
+// Builds one datagram. The method named after the kind, if there is one, has to be called before add().
 class DatagramWriter {
  public:
   DatagramWriter(MessageKind kind, std::string_view fleet, const Sender& from, Nonce nonce);
-  DatagramWriter& ping_request(std::string_view whom, const Address& at);
+  DatagramWriter& ping_request(std::string_view target, const Address& address);
   DatagramWriter& sync_digest(bool answered, std::span<const std::uint64_t, kDigestBuckets> digests);
-  DatagramWriter& name_claim(Micros running);
+  DatagramWriter& name_claim(Micros uptime);
   DatagramWriter& view_query(std::string_view after);
   DatagramWriter& view_page(bool last);
-  bool add(const MemberUpdate& update);  // false: it does not fit
+  // Returns false and adds nothing if the update does not fit.
+  bool add(const MemberUpdate& update);
   bool add(const MemberUpdate& update, Micros age);
+  // Valid as long as the writer.
   std::string_view finish();
 
  private:
--- a/src/members/view.cpp
+++ b/src/members/view.cpp
@@ -21,6 +21,7 @@
 // Durations, in multiples of the interval between two probes.
 constexpr int kMinSuspicionIntervals = 4;  // from suspicion to failure, when enough other members confirm it
 constexpr int kMaxSuspicionFactor = 6;     // an unconfirmed suspicion lasts this many times the minimum
+// Between two rounds of pings to the seeds, before jitter.
 constexpr int kMinSeedRetryIntervals = 1, kMaxSeedRetryIntervals = 8;
 constexpr int kJoinTimeoutIntervals = 7;      // with no answer from a seed, the node starts a new fleet
 constexpr int kClaimTimeoutIntervals = 5;     // in which a running process of the same name answers a claim
@@ -71,13 +72,13 @@
  public:
   Impl(ViewDelegate& delegate, std::string fleet, std::string name, Generation generation,
        const Address& advertised, std::string zone, std::string version, std::vector<Address> seeds,
-       Micros interval, Micros forget, std::size_t most, std::uint64_t seed)
+       Micros probe_interval, Micros forget_after, std::size_t max_members, std::uint64_t seed)
       : delegate_(delegate),
         fleet_(std::move(fleet)),
         name_(std::move(name)),
-        interval_(interval),
-        forget_(forget),
-        max_members_(most),
+        interval_(probe_interval),
+        forget_after_(forget_after),
+        max_members_(max_members),
         rng_(static_cast<std::knuth_b::result_type>(seed | 1)) {
     Member& me = members_.try_emplace(name_).first->second.member;
     me.generation = generation;
@@ -91,24 +92,24 @@
     last_nonce_ = mix(seed ^ generation.value) >> 9;
   }
 
-  void pick_members(std::size_t near, std::size_t far, std::vector<Address>& to) {
+  void pick_members(std::size_t same_zone, std::size_t other_zones, std::vector<Address>& to) {
     const std::string& zone = members_.at(name_).member.zone;
-    std::vector<Address> of_near, of_far;
+    std::vector<Address> same, other;
     // With few zones, a small number of attempts finds members both inside and outside this node's zone.
-    std::set<std::size_t> drawn;
-    for (std::size_t i = 0; !probe_order_.empty() && i < 8 * (near + far); ++i) {
-      const std::size_t no = random_index(probe_order_.size());
-      if (!drawn.insert(no).second) continue;
-      const auto it = members_.find(probe_order_[no]);
+    std::set<std::size_t> tried;
+    for (std::size_t i = 0; !probe_order_.empty() && i < 8 * (same_zone + other_zones); ++i) {
+      const std::size_t index = random_index(probe_order_.size());
+      if (!tried.insert(index).second) continue;
+      const auto it = members_.find(probe_order_[index]);
       if (it == members_.end() || !is_active_peer(it->first, it->second)) continue;
-      (it->second.member.zone == zone ? of_near : of_far).push_back(it->second.member.address);
+      (it->second.member.zone == zone ? same : other).push_back(it->second.member.address);
     }
-    const std::size_t far_most = near > 0 && of_near.empty() ? near + far : far,
-                      near_most = far > 0 && of_far.empty() ? near + far : near;
-    of_near.resize(std::min(of_near.size(), near_most));
-    of_far.resize(std::min(of_far.size(), far_most));
-    to.insert(to.end(), of_near.begin(), of_near.end());
-    to.insert(to.end(), of_far.begin(), of_far.end());
+    const std::size_t max_other = same_zone > 0 && same.empty() ? same_zone + other_zones : other_zones,
+                      max_same = other_zones > 0 && other.empty() ? same_zone + other_zones : same_zone;
+    same.resize(std::min(same.size(), max_same));
+    other.resize(std::min(other.size(), max_other));
+    to.insert(to.end(), same.begin(), same.end());
+    to.insert(to.end(), other.begin(), other.end());
   }
 
   void set_time(Micros now) {
@@ -125,7 +126,7 @@
     refilled_at_ = now_;
     set_timer(jittered(interval_, 0.5), Timer::probe);
     set_timer(jittered(interval_ * kFailedPingIntervals, 0.5), Timer::failed_members);
-    if (seeds_.empty()) return join("no seeds");
+    if (seeds_.empty()) return join("no seeds configured");
     ping_seeds();
     set_timer(interval_ * kJoinTimeoutIntervals, Timer::join_timeout);
   }
@@ -164,7 +165,8 @@
         if (seq == seed_seq_) ping_seeds();
         return;
       case Timer::join_timeout:
-        if (me().state == MemberState::joining && !claim_pending_ && !name_taken_) join("no seed answers");
+        if (me().state == MemberState::joining && !claim_pending_ && !name_taken_)
+          join("no reply from any seed");
         return;
       case Timer::claim_timeout:
         if (seq == claim_seq_) claim_expired();
@@ -175,14 +177,13 @@
   }
 
   void leave() {
-    Entry& mine = members_.find(name_)->second;
-    if (mine.member.state == MemberState::joining) {
+    if (!joined()) {
       muted_ = true;
       return;
     }
-    update_member(name_, [](Member& m) {
-      ++m.incarnation;
-      m.state = MemberState::leaving;
+    update_member(name_, [](Member& member) {
+      ++member.incarnation;
+      member.state = MemberState::leaving;
     });
     // Sent at once to more members than usual, since the process exits before gossip reaches everyone.
     for (const Address& to : random_peers(kGossipFanout * 2, {}))
@@ -197,9 +198,9 @@
 
   void set_metadata(std::string_view metadata) {
     if (me().metadata == metadata) return;
-    const auto apply = [&](Member& m) {
-      m.metadata = std::string(metadata.substr(0, kMaxMetadataBytes));
-      ++m.incarnation;
+    const auto apply = [&](Member& member) {
+      member.metadata = std::string(metadata.substr(0, kMaxMetadataBytes));
+      ++member.incarnation;
     };
     started_at_ == kNever ? apply(me()) : update_member(name_, apply);
   }
@@ -209,7 +210,7 @@
   unsigned active_count() const {
     if (me().state == MemberState::joining) return 0;
     unsigned out = 0;
-    for (const auto& [name, e] : members_) out += e.member.state != MemberState::left;
+    for (const auto& [name, entry] : members_) out += entry.member.state != MemberState::left;
     return out;
   }
 
@@ -262,8 +263,8 @@
     probe_history_ = 0;
     indirect_probes_.clear();
     health_penalty_ = std::min(health_penalty_ + 1, kMaxHealthPenalty);
-    for (auto& [name, e] : members_)
-      if (e.member.state == MemberState::suspected) e.suspected_since += delay;
+    for (auto& [name, entry] : members_)
+      if (entry.member.state == MemberState::suspected) entry.suspected_since += delay;
   }
 
   // Uniform within `spread` of the mean, as a share of it.
@@ -306,9 +307,9 @@
     delegate_.send(to, bytes);
   }
 
-  static MemberUpdate update_of(std::string_view name, const Member& m) {
-    return {name,   m.generation, m.incarnation, m.state,      m.address,
-            m.zone, m.version,    m.metadata,    m.reported_by};
+  static MemberUpdate update_of(std::string_view name, const Member& member) {
+    return {name,        member.generation, member.incarnation, member.state,      member.address,
+            member.zone, member.version,    member.metadata,    member.reported_by};
   }
 
   // Sends a datagram with the update of the member `first`, if known, and as many queued updates as fit.
@@ -331,7 +332,7 @@
       if (!writer.add(update_of((*it)->first, (*it)->second.member))) break;
       --(*it)->second.transmits_left;
     }
-    std::erase_if(gossip_queue_, [](const GossipEntry* e) { return e->second.transmits_left <= 0; });
+    std::erase_if(gossip_queue_, [](const GossipEntry* entry) { return entry->second.transmits_left <= 0; });
     send(to, writer, kind == MessageKind::gossip ? Priority::low : Priority::high);
   }
 
@@ -367,19 +368,19 @@
   // Addresses of at most `count` random members that are neither failed nor gone, without `excluded`.
   std::vector<Address> random_peers(std::size_t count, std::string_view excluded) {
     std::vector<Address> out;
-    std::set<std::size_t> drawn;
+    std::set<std::size_t> tried;
     for (std::size_t i = 0; !probe_order_.empty() && i < 4 * count && out.size() < count; ++i) {
-      const std::size_t no = random_index(probe_order_.size());
-      if (!drawn.insert(no).second || probe_order_[no] == excluded) continue;
-      const auto it = members_.find(probe_order_[no]);
+      const std::size_t index = random_index(probe_order_.size());
+      if (!tried.insert(index).second || probe_order_[index] == excluded) continue;
+      const auto it = members_.find(probe_order_[index]);
       if (it != members_.end() && is_active_peer(it->first, it->second))
         out.push_back(it->second.member.address);
     }
     return out;
   }
 
-  bool is_active_peer(std::string_view name, const Entry& e) const {
-    return name != name_ && !is_terminal(e.member.state);
+  bool is_active_peer(std::string_view name, const Entry& entry) const {
+    return name != name_ && !is_terminal(entry.member.state);
   }
 
   // The digest covers only members that are neither failed nor gone, since nodes forget those at different
@@ -388,71 +389,71 @@
   static std::size_t bucket_of(std::string_view name) {
     return XXH3_64bits(name.data(), name.size()) % kDigestBuckets;
   }
-  static std::uint64_t member_hash(std::string_view name, const Member& m) {
-    const std::uint64_t fields[] = {m.generation.value, m.incarnation, static_cast<std::uint64_t>(m.state),
-                                    m.address.port};
-    std::uint64_t h = XXH3_64bits_withSeed(fields, sizeof fields, XXH3_64bits(name.data(), name.size()));
-    h = XXH3_64bits_withSeed(m.address.bytes.data(), m.address.bytes.size(), h);
-    return XXH3_64bits_withSeed(m.metadata.data(), m.metadata.size(), h);
+  static std::uint64_t member_hash(std::string_view name, const Member& member) {
+    const std::uint64_t fields[] = {member.generation.value, member.incarnation,
+                                    static_cast<std::uint64_t>(member.state), member.address.port};
+    std::uint64_t hash = XXH3_64bits_withSeed(fields, sizeof fields, XXH3_64bits(name.data(), name.size()));
+    hash = XXH3_64bits_withSeed(member.address.bytes.data(), member.address.bytes.size(), hash);
+    return XXH3_64bits_withSeed(member.metadata.data(), member.metadata.size(), hash);
   }
-  static bool is_in_digest(const Member& m) {
-    return !is_terminal(m.state) && m.state != MemberState::joining;
+  static bool is_in_digest(const Member& member) {
+    return !is_terminal(member.state) && member.state != MemberState::joining;
   }
   enum class DigestOp { add, remove };
-  void update_digest(std::string_view name, const Member& m, DigestOp op) {
-    if (!is_in_digest(m)) return;
-    buckets_[bucket_of(name)] ^= member_hash(name, m);  // adds and removes alike
+  void update_digest(std::string_view name, const Member& member, DigestOp op) {
+    if (!is_in_digest(member)) return;
+    buckets_[bucket_of(name)] ^= member_hash(name, member);  // adds and removes alike
     const std::size_t delta = op == DigestOp::add ? 1 : std::size_t(-1);
     live_count_ += delta;
-    if (m.state != MemberState::suspected) healthy_count_ += delta;
+    if (member.state != MemberState::suspected) healthy_count_ += delta;
   }
 
   // Changes a member and everything that depends on it: digest, suspicion, gossip queue and delegate.
   template <class Change>
   void update_member(std::string_view name, Change change) {
     const auto it = members_.find(name);
-    Entry& e = it->second;
-    const MemberState old_state = e.member.state;
-    const Generation old_generation = e.member.generation;
-    e.recheck_until = kNever;
-    update_digest(name, e.member, DigestOp::remove);
-    change(e.member);
-    update_digest(name, e.member, DigestOp::add);
-    if (e.member.state != MemberState::suspected) {
-      e.suspected_by.clear();
-      e.suspected_since = kNever;
-      e.failure_reported = false;
+    Entry& entry = it->second;
+    const MemberState old_state = entry.member.state;
+    const Generation old_generation = entry.member.generation;
+    entry.recheck_until = kNever;
+    update_digest(name, entry.member, DigestOp::remove);
+    change(entry.member);
+    update_digest(name, entry.member, DigestOp::add);
+    if (entry.member.state != MemberState::suspected) {
+      entry.suspected_by.clear();
+      entry.suspected_since = kNever;
+      entry.failure_reported = false;
     }
     queue_update(it->first);
-    if (e.member.state == old_state && e.member.generation == old_generation) return;
-    e.member.since = now_;
-    delegate_.on_member_changed(it->first, e.member, false);
+    if (entry.member.state == old_state && entry.member.generation == old_generation) return;
+    entry.member.since = now_;
+    delegate_.on_member_changed(it->first, entry.member, false);
   }
 
-  void copy_update(Member& m, const MemberUpdate& update, std::string_view reported_by) {
-    m.generation = update.generation;
-    m.incarnation = update.incarnation;
-    m.state = update.state;
-    m.address = update.address;
-    m.zone = update.zone;
-    m.version = update.version;
-    m.metadata = update.metadata;
-    m.reported_by = reported_by;
+  void copy_update(Member& member, const MemberUpdate& update, std::string_view reported_by) {
+    member.generation = update.generation;
+    member.incarnation = update.incarnation;
+    member.state = update.state;
+    member.address = update.address;
+    member.zone = update.zone;
+    member.version = update.version;
+    member.metadata = update.metadata;
+    member.reported_by = reported_by;
   }
 
   // Moves this node to a generation later than its own and `other`, so that what is known of those no longer
   // applies.
   void advance_generation(Generation other) {
-    update_member(name_, [&](Member& m) {
-      m.generation = Generation{std::max(m.generation.value, other.value) + 1};
-      m.incarnation = 0;
+    update_member(name_, [&](Member& member) {
+      member.generation = Generation{std::max(member.generation.value, other.value) + 1};
+      member.incarnation = 0;
     });
   }
 
   void join(const char* reason) {
     if (me().state != MemberState::joining) return;
     joined_at_ = now_;
-    update_member(name_, [](Member& m) { m.state = MemberState::alive; });
+    update_member(name_, [](Member& member) { member.state = MemberState::alive; });
     char line[96];
     std::snprintf(line, sizeof line, "joined why=\"%s\"", reason);
     delegate_.log(line);
@@ -480,8 +481,8 @@
   }
 
   bool knows_address(const Address& address) const {
-    for (const auto& [name, e] : members_)
-      if (e.member.address == address && !is_terminal(e.member.state)) return true;
+    for (const auto& [name, entry] : members_)
+      if (entry.member.address == address && !is_terminal(entry.member.state)) return true;
     return false;
   }
 
@@ -490,8 +491,8 @@
     forget_expired();
     if (is_muted() || !joined()) return;
     std::vector<std::string_view> failed;
-    for (const auto& [name, e] : members_)
-      if (e.member.state == MemberState::failed) failed.push_back(name);
+    for (const auto& [name, entry] : members_)
+      if (entry.member.state == MemberState::failed) failed.push_back(name);
     if (failed.empty()) return;
     notify_accused(failed[random_index(failed.size())], true);
   }
@@ -499,20 +500,23 @@
   // Pings a member with the suspicion or failure reported of it, so that it can refute it. While it is being
   // rechecked, the ping carries only this node's own update.
   void notify_accused(std::string_view name, bool at_once = false) {
-    Entry& e = members_.find(name)->second;
-    if (!(at_once && !is_rechecked(e)) && e.notified_at != kNever && now_ - e.notified_at < interval_) return;
-    e.notified_at = now_;
-    e.notify_nonce = next_nonce();
+    Entry& entry = members_.find(name)->second;
+    if (!(at_once && !is_rechecked(entry)) && entry.notified_at != kNever &&
+        now_ - entry.notified_at < interval_)
+      return;
+    entry.notified_at = now_;
+    entry.notify_nonce = next_nonce();
     if (!is_muted())
-      send_gossip(MessageKind::ping, e.member.address, e.notify_nonce,
-                  is_rechecked(e) ? std::string_view(name_) : name);
+      send_gossip(MessageKind::ping, entry.member.address, entry.notify_nonce,
+                  is_rechecked(entry) ? std::string_view(name_) : name);
   }
 
   void forget_expired() {
     for (auto it = members_.begin(); it != members_.end();) {
-      const Member& m = it->second.member;
-      const Micros retention = m.state == MemberState::left ? interval_ * kLeftRetentionIntervals : forget_;
-      const bool expired = is_terminal(m.state) && now_ - m.since > retention;
+      const Member& member = it->second.member;
+      const Micros retention =
+          member.state == MemberState::left ? interval_ * kLeftRetentionIntervals : forget_after_;
+      const bool expired = is_terminal(member.state) && now_ - member.since > retention;
       if (!expired) {
         ++it;
         continue;
@@ -548,23 +552,23 @@
     const Micros probe_timeout = std::max(direct_timeout * 2, min_timeout * 27 / 10);
     set_timer(std::max(jittered(min_timeout * 3, 0.1), probe_timeout * 11 / 10), Timer::probe);
     if (!next) return;
-    const Entry& e = members_.find(*next)->second;
-    Probe probe{next_nonce(), *next, e.member.generation, now_};
+    const Entry& entry = members_.find(*next)->second;
+    Probe probe{next_nonce(), *next, entry.member.generation, now_};
     ++probe_seq_;
     probe_answered_ = false;
     nacked_by_.clear();
     recent_probes_.push_back(probe);
     while (!recent_probes_.empty() && now_ - recent_probes_.front().sent_at > interval_ * kLateAckIntervals)
       recent_probes_.pop_front();
-    send_gossip(MessageKind::ping, e.member.address, probe.nonce,
-                e.member.state == MemberState::suspected ? probe.name : std::string_view());
+    send_gossip(MessageKind::ping, entry.member.address, probe.nonce,
+                entry.member.state == MemberState::suspected ? probe.name : std::string_view());
     set_timer(direct_timeout, Timer::direct_timeout, probe_seq_);
     set_timer(probe_timeout, Timer::probe_timeout, probe_seq_);
   }
 
   // Time allowed for an ack: twice the mean round trip to this member or to all, whichever is larger.
-  Micros round_trip_timeout(const Entry& e) const {
-    const double mean = std::max(round_trip_.value_or(0), e.round_trip.value_or(0));
+  Micros round_trip_timeout(const Entry& entry) const {
+    const double mean = std::max(round_trip_.value_or(0), entry.round_trip.value_or(0));
     return std::min(Micros{static_cast<std::int64_t>(mean * 2e6)}, interval_ * kMaxRoundTripIntervals);
   }
 
@@ -583,8 +587,8 @@
         if (it != members_.end() && is_active_peer(it->first, it->second)) return &it->first;
       }
       probe_order_.clear();
-      for (const auto& [name, e] : members_)
-        if (is_active_peer(name, e)) probe_order_.push_back(name);
+      for (const auto& [name, entry] : members_)
+        if (is_active_peer(name, entry)) probe_order_.push_back(name);
       for (std::size_t i = probe_order_.size(); i > 1; --i)
         std::swap(probe_order_[i - 1], probe_order_[random_index(i)]);
       next_probe_ = 0;
@@ -611,13 +615,14 @@
     const Probe probe = recent_probes_.back();
     const auto it = members_.find(probe.name);
     if (it == members_.end() || it->second.member.generation != probe.generation) return;
-    const Member& m = it->second.member;
-    if (m.state == MemberState::leaving)
-      return update_member(probe.name,
-                           [this](Member& now) { now.state = MemberState::left, now.reported_by = name_; });
-    suspect(probe.name, m.incarnation, name_);
+    const Member& member = it->second.member;
+    if (member.state == MemberState::leaving)
+      return update_member(probe.name, [this](Member& updated) {
+        updated.state = MemberState::left, updated.reported_by = name_;
+      });
+    suspect(probe.name, member.incarnation, name_);
     // Each helper that reported no ack confirms the suspicion.
-    for (const std::string& helper : nacked_by_) suspect(probe.name, m.incarnation, helper);
+    for (const std::string& helper : nacked_by_) suspect(probe.name, member.incarnation, helper);
   }
 
   void on_ping(const Sender& from, Nonce nonce) override {
@@ -637,7 +642,7 @@
       welcome(from.address, nonce);
     else
       send_gossip(MessageKind::ack, from.address, nonce, can_refute ? from.name : std::string_view(name_));
-    if (!joined() && !claim_pending_) join("another joins too");
+    if (!joined() && !claim_pending_) join("pinged by another node while joining");
   }
 
   bool is_newcomer(std::string_view name) const {
@@ -675,7 +680,9 @@
         advance_generation(me().generation);
       }
       if (is_rechecked(it->second))
-        update_member(from.name, [&](Member& m) { m.state = MemberState::alive, m.reported_by = from.name; });
+        update_member(from.name, [&](Member& member) {
+          member.state = MemberState::alive, member.reported_by = from.name;
+        });
     }
     // Guards against losing contact when the seeds are replaced before any responder has become a member.
     if (!members_.contains(from.name)) unknown_responder_ = from.address;
@@ -693,7 +700,7 @@
         health_penalty_ = std::max(health_penalty_ - 1, 0);
     }
     if (!joined() && !claim_pending_ && !name_taken_) {
-      join("a seed answers");
+      join("a seed replied");
       const std::vector<Address> known = random_peers(1, {});
       start_sync(known.empty() ? from.address : known.front());
     }
@@ -730,8 +737,8 @@
   // At most as many as there are other alive members.
   std::size_t expected_confirmations(std::string_view suspected) const {
     std::size_t others = 0;
-    for (const auto& [name, e] : members_) {
-      others += name != name_ && name != suspected && e.member.state == MemberState::alive;
+    for (const auto& [name, entry] : members_) {
+      others += name != name_ && name != suspected && entry.member.state == MemberState::alive;
       if (others == kMaxConfirmations) break;
     }
     return others;
@@ -739,11 +746,11 @@
 
   // From the maximum without confirmations down to the minimum with all that are expected, logarithmically
   // (as in Lifeguard).
-  Micros suspicion_timeout(std::string_view name, const Entry& e) const {
+  Micros suspicion_timeout(std::string_view name, const Entry& entry) const {
     const Micros min_timeout = interval_ * kMinSuspicionIntervals;
     const std::size_t expected = expected_confirmations(name);
-    if (expected == 0 || e.failure_reported) return min_timeout;
-    const std::size_t confirmed = std::min(e.suspected_by.size() - 1, expected);
+    if (expected == 0 || entry.failure_reported) return min_timeout;
+    const std::size_t confirmed = std::min(entry.suspected_by.size() - 1, expected);
     const double remaining =
         1 - std::log(1.0 + static_cast<double>(confirmed)) / std::log(1.0 + static_cast<double>(expected));
     // Without any confirmation, this node itself may be the faulty one.
@@ -754,25 +761,27 @@
 
   void suspect(std::string_view name, std::uint32_t incarnation, std::string_view reported_by) {
     const auto it = members_.find(name);
-    Entry& e = it->second;
-    Member& m = e.member;
-    if (incarnation < m.incarnation || (m.state != MemberState::alive && m.state != MemberState::suspected))
+    Entry& entry = it->second;
+    Member& member = entry.member;
+    if (incarnation < member.incarnation ||
+        (member.state != MemberState::alive && member.state != MemberState::suspected))
       return;
-    if (m.state == MemberState::suspected && incarnation == m.incarnation) {
-      if (e.suspected_by.size() > kMaxConfirmations ||
-          std::find(e.suspected_by.begin(), e.suspected_by.end(), reported_by) != e.suspected_by.end())
+    if (member.state == MemberState::suspected && incarnation == member.incarnation) {
+      if (entry.suspected_by.size() > kMaxConfirmations ||
+          std::find(entry.suspected_by.begin(), entry.suspected_by.end(), reported_by) !=
+              entry.suspected_by.end())
         return;
-      e.suspected_by.emplace_back(reported_by);
-      m.reported_by = reported_by;
+      entry.suspected_by.emplace_back(reported_by);
+      member.reported_by = reported_by;
       queue_update(it->first);  // each confirmation is spread
     } else {
-      update_member(name, [&](Member& now) {
-        now.state = MemberState::suspected;
-        now.incarnation = incarnation;
-        now.reported_by = reported_by;
+      update_member(name, [&](Member& updated) {
+        updated.state = MemberState::suspected;
+        updated.incarnation = incarnation;
+        updated.reported_by = reported_by;
       });
-      e.suspected_by.assign(1, std::string(reported_by));
-      e.suspected_since = now_;
+      entry.suspected_by.assign(1, std::string(reported_by));
+      entry.suspected_since = now_;
       notify_accused(name, true);
       if (reported_by != name_ && std::generate_canonical<double, 32>(rng_) <
                                       kVerifiersPerSuspicion / static_cast<double>(live_count_ + 1))
@@ -785,15 +794,15 @@
     suspicion_timer_set_ = false;
     std::vector<std::string> expired;
     bool pending = false;
-    for (const auto& [name, e] : members_) {
-      if (e.member.state != MemberState::suspected) continue;
-      if (now_ - e.suspected_since >= suspicion_timeout(name, e))
+    for (const auto& [name, entry] : members_) {
+      if (entry.member.state != MemberState::suspected) continue;
+      if (now_ - entry.suspected_since >= suspicion_timeout(name, entry))
         expired.push_back(name);
       else
         pending = true;
     }
     for (const std::string& name : expired)
-      update_member(name, [](Member& m) { m.state = MemberState::failed; });
+      update_member(name, [](Member& member) { member.state = MemberState::failed; });
     if (pending && !std::exchange(suspicion_timer_set_, true)) set_timer(interval_ / 4, Timer::suspicions);
   }
 
@@ -803,8 +812,9 @@
   void check_sender(const Sender& from) {
     const auto it = members_.find(from.name);
     if (it == members_.end() || it->first == name_) return;
-    const Member& m = it->second.member;
-    if (m.generation > from.generation || (m.generation == from.generation && m.state == MemberState::failed))
+    const Member& member = it->second.member;
+    if (member.generation > from.generation ||
+        (member.generation == from.generation && member.state == MemberState::failed))
       notify_accused(from.name);
   }
 
@@ -818,19 +828,20 @@
       return;
     const auto it = members_.find(update.name);
     if (it == members_.end()) return add_member(from, update);
-    Entry& e = it->second;
-    const Member& m = e.member;
-    if (update.generation < m.generation) return;
-    if (update.generation > m.generation) {
+    Entry& entry = it->second;
+    const Member& member = entry.member;
+    if (update.generation < member.generation) return;
+    if (update.generation > member.generation) {
       if (update.state != MemberState::joining) apply_newer(update.name, update);
       return;
     }
-    if (is_terminal(m.state)) {
+    if (is_terminal(member.state)) {
       // Someone reports it as running: it has to learn that it needs a later generation.
-      if (m.state == MemberState::failed && update.state < MemberState::failed) notify_accused(update.name);
-      if (m.state == MemberState::failed && update.state == MemberState::left)
-        update_member(update.name, [&](Member& now) {
-          now.state = MemberState::left, now.reported_by = update.reported_by;
+      if (member.state == MemberState::failed && update.state < MemberState::failed)
+        notify_accused(update.name);
+      if (member.state == MemberState::failed && update.state == MemberState::left)
+        update_member(update.name, [&](Member& updated) {
+          updated.state = MemberState::left, updated.reported_by = update.reported_by;
         });
       return;
     }
@@ -839,26 +850,26 @@
         return;
       case MemberState::alive:
       case MemberState::leaving:
-        if (m.state == MemberState::leaving && update.state != MemberState::leaving) return;
-        if (update.incarnation > m.incarnation) apply_newer(update.name, update);
+        if (member.state == MemberState::leaving && update.state != MemberState::leaving) return;
+        if (update.incarnation > member.incarnation) apply_newer(update.name, update);
         return;
       case MemberState::suspected:
         if (!update.reported_by.empty()) suspect(update.name, update.incarnation, update.reported_by);
         return;
       case MemberState::failed:
-        if (m.state == MemberState::leaving)
-          return update_member(update.name, [&](Member& now) {
-            now.state = MemberState::left, now.reported_by = update.reported_by;
+        if (member.state == MemberState::leaving)
+          return update_member(update.name, [&](Member& updated) {
+            updated.state = MemberState::left, updated.reported_by = update.reported_by;
           });
         // Only suspected at first: after a partition each side has marked the other as failed, and the member
         // may well be running.
-        suspect(update.name, m.incarnation, update.reported_by.empty() ? from.name : update.reported_by);
-        e.failure_reported = true;
+        suspect(update.name, member.incarnation, update.reported_by.empty() ? from.name : update.reported_by);
+        entry.failure_reported = true;
         notify_accused(update.name);
         return;
       case MemberState::left:
-        return update_member(update.name, [&](Member& now) {
-          now.state = MemberState::left, now.reported_by = update.reported_by;
+        return update_member(update.name, [&](Member& updated) {
+          updated.state = MemberState::left, updated.reported_by = update.reported_by;
         });
     }
   }
@@ -870,9 +881,9 @@
       health_penalty_ = std::min(health_penalty_ + 1, kMaxHealthPenalty);
     const bool suspected = update.state == MemberState::suspected;
     const bool failed = update.state == MemberState::failed;
-    update_member(name, [&](Member& m) {
-      copy_update(m, update, suspected || failed ? update.reported_by : update.name);
-      if (suspected) m.state = MemberState::alive;
+    update_member(name, [&](Member& member) {
+      copy_update(member, update, suspected || failed ? update.reported_by : update.name);
+      if (suspected) member.state = MemberState::alive;
     });
     if (suspected && !update.reported_by.empty()) suspect(name, update.incarnation, update.reported_by);
   }
@@ -884,50 +895,51 @@
     if (update.state == MemberState::failed && now_ - joined_at_ > interval_ * kLearnFailedIntervals) return;
     if (!make_room()) return;
     const auto it = members_.try_emplace(std::string(update.name)).first;
-    Entry& e = it->second;
+    Entry& entry = it->second;
     const bool suspected = update.state == MemberState::suspected;
-    copy_update(e.member, update, suspected || is_terminal(update.state) ? update.reported_by : from.name);
-    if (suspected) e.member.state = MemberState::alive;
-    e.member.since = now_;
-    update_digest(it->first, e.member, DigestOp::add);
+    copy_update(entry.member, update,
+                suspected || is_terminal(update.state) ? update.reported_by : from.name);
+    if (suspected) entry.member.state = MemberState::alive;
+    entry.member.since = now_;
+    update_digest(it->first, entry.member, DigestOp::add);
     // Inserted at a random position of the current probe round instead of waiting for the next one.
-    if (is_active_peer(it->first, e)) {
+    if (is_active_peer(it->first, entry)) {
       probe_order_.push_back(it->first);
       if (next_probe_ < probe_order_.size())
         std::swap(probe_order_.back(),
                   probe_order_[next_probe_ + random_index(probe_order_.size() - next_probe_)]);
     }
     queue_update(it->first, from.from_sync);
-    delegate_.on_member_changed(it->first, e.member, true);
+    delegate_.on_member_changed(it->first, entry.member, true);
     if (suspected && !update.reported_by.empty()) suspect(it->first, update.incarnation, update.reported_by);
   }
 
   void handle_own_update(const Sender& from, const MemberUpdate& update) {
     self_mentioned_ = true;
-    const Member& m = me();
+    const Member& member = me();
     // About this process.
-    if (update.generation == m.generation && update.address == m.address) {
+    if (update.generation == member.generation && update.address == member.address) {
       if (update.state == MemberState::failed || update.state == MemberState::left) {
-        if (m.state == MemberState::leaving) return;
+        if (member.state == MemberState::leaving) return;
         // The smaller partition yields, so that a single node that was cut off does not force all others into
         // a new generation.
         if (outweighs(from)) return;
         health_penalty_ = std::min(health_penalty_ + 1, kMaxHealthPenalty);
         recheck_failed();
         advance_generation(update.generation);
-      } else if (update.incarnation > m.incarnation ||
-                 (update.state == MemberState::suspected && update.incarnation == m.incarnation)) {
-        if (m.state == MemberState::joining) return;
+      } else if (update.incarnation > member.incarnation ||
+                 (update.state == MemberState::suspected && update.incarnation == member.incarnation)) {
+        if (member.state == MemberState::joining) return;
         health_penalty_ = std::min(health_penalty_ + 1, kMaxHealthPenalty);
-        update_member(name_, [&](Member& now) { now.incarnation = update.incarnation + 1; });
+        update_member(name_, [&](Member& updated) { updated.incarnation = update.incarnation + 1; });
         if (!is_muted()) send_gossip(MessageKind::gossip, from.address, next_nonce(), name_);
       }
       return;
     }
     // About an earlier process at the same address.
-    if (update.generation < m.generation && update.address == m.address) return;
-    if (is_terminal(update.state) || update.address == m.address) {
-      if (update.generation >= m.generation && !is_muted()) advance_generation(update.generation);
+    if (update.generation < member.generation && update.address == member.address) return;
+    if (is_terminal(update.state) || update.address == member.address) {
+      if (update.generation >= member.generation && !is_muted()) advance_generation(update.generation);
       return;
     }
     // Another process uses this name at another address: the one that started later must stay out.
@@ -960,7 +972,7 @@
     return std::pair(weight(), digest()) > std::pair(other.weight, other.digest);
   }
 
-  bool is_rechecked(const Entry& e) const { return e.recheck_until > now_; }
+  bool is_rechecked(const Entry& entry) const { return entry.recheck_until > now_; }
 
   // Two processes with the same name.
 
@@ -970,10 +982,10 @@
     send(to, writer, Priority::high);
   }
 
-  void on_name_claim(const Sender& from, Micros running) override {
+  void on_name_claim(const Sender& from, Micros rival_uptime) override {
     if (from.name != name_ || from.address == me().address) return;
     const Micros uptime = now_ - started_at_;
-    const bool older = uptime != running ? uptime > running : me().address < from.address;
+    const bool older = uptime != rival_uptime ? uptime > rival_uptime : me().address < from.address;
     highest_rival_generation_ = std::max(highest_rival_generation_, from.generation);
     if (older && !name_taken_) {
       // A later generation supersedes what the fleet has learned of the younger process.
@@ -988,13 +1000,13 @@
     ++claim_seq_;
     if (!std::exchange(name_taken_, true)) {
       char line[200];
-      std::snprintf(line, sizeof line,
-                    "name-in-use name=%s elder=%s elder_running_ms=%lld; this node stays out", name_.c_str(),
-                    to_text(from.address).c_str(), static_cast<long long>(running.count() / 1000));
+      std::snprintf(
+          line, sizeof line, "name-in-use name=%s elder=%s elder_running_ms=%lld; not joining the fleet",
+          name_.c_str(), to_text(from.address).c_str(), static_cast<long long>(rival_uptime.count() / 1000));
       delegate_.log(line);
-      update_member(name_, [](Member& m) { m.state = MemberState::joining; });
+      update_member(name_, [](Member& member) { member.state = MemberState::joining; });
       gossip_queue_.clear();
-      for (auto& [name, e] : members_) e.transmits_left = 0;
+      for (auto& [name, entry] : members_) entry.transmits_left = 0;
     }
     set_timer(jittered(interval_ * kMaxSeedRetryIntervals, 0.3), Timer::claim_timeout, claim_seq_);
   }
@@ -1018,7 +1030,7 @@
     // Any seed that answers now knows no other process of this name.
     seed_retry_delay_ = Micros{0};
     ping_seeds();
-    join("the name is free");
+    join("the name is no longer in use");
   }
 
   // Anti-entropy sync of whole views.
@@ -1035,9 +1047,10 @@
                       std::span<const std::uint64_t, kDigestBuckets> digests) override {
     if (is_muted() || !joined()) return;
     std::vector<MemberUpdate> updates;
-    for (const auto& [name, e] : members_) {
-      if (e.member.state == MemberState::joining || is_rechecked(e)) continue;
-      if (digests[bucket_of(name)] != buckets_[bucket_of(name)]) updates.push_back(update_of(name, e.member));
+    for (const auto& [name, entry] : members_) {
+      if (entry.member.state == MemberState::joining || is_rechecked(entry)) continue;
+      if (digests[bucket_of(name)] != buckets_[bucket_of(name)])
+        updates.push_back(update_of(name, entry.member));
     }
     // If the differences exceed one reply, it starts at a random position; later syncs bring the rest.
     if (!updates.empty())
@@ -1058,9 +1071,9 @@
   // View queries.
 
   // As shown to observers: a member that is being rechecked counts as suspected.
-  MemberUpdate public_update(std::string_view name, const Entry& e) const {
-    MemberUpdate out = update_of(name, e.member);
-    if (is_rechecked(e)) out.state = MemberState::suspected;
+  MemberUpdate public_update(std::string_view name, const Entry& entry) const {
+    MemberUpdate out = update_of(name, entry.member);
+    if (is_rechecked(entry)) out.state = MemberState::suspected;
     return out;
   }
 
@@ -1105,7 +1118,7 @@
   std::string fleet_, name_;
   std::vector<Address> seeds_;
   std::optional<Address> unknown_responder_;  // sender of an ack that was not a member at that time
-  Micros interval_, forget_;
+  Micros interval_, forget_after_;
   std::size_t max_members_;
   std::knuth_b rng_;
   Entries members_;
@@ -1139,10 +1152,10 @@
 
 View::View(ViewDelegate& delegate, std::string fleet, std::string name, Generation generation,
            const Address& advertised, std::string zone, std::string version, std::vector<Address> seeds,
-           Micros interval, Micros forget, std::size_t most, std::uint64_t seed)
+           Micros probe_interval, Micros forget_after, std::size_t max_members, std::uint64_t seed)
     : impl_(std::make_unique<Impl>(delegate, std::move(fleet), std::move(name), generation, advertised,
-                                   std::move(zone), std::move(version), std::move(seeds), interval, forget,
-                                   most, seed)) {}
+                                   std::move(zone), std::move(version), std::move(seeds), probe_interval,
+                                   forget_after, max_members, seed)) {}
 View::~View() = default;
 void View::set_time(Micros now) { impl_->set_time(now); }
 void View::start() { impl_->start(); }
@@ -1151,8 +1164,8 @@
 void View::set_seeds(std::vector<Address> seeds) { impl_->set_seeds(std::move(seeds)); }
 void View::leave() { impl_->leave(); }
 void View::set_metadata(std::string_view metadata) { impl_->set_metadata(metadata); }
-void View::pick_members(std::size_t near, std::size_t far, std::vector<Address>& to) {
-  impl_->pick_members(near, far, to);
+void View::pick_members(std::size_t same_zone, std::size_t other_zones, std::vector<Address>& to) {
+  impl_->pick_members(same_zone, other_zones, to);
 }
 std::uint64_t View::digest() const { return impl_->digest(); }
 unsigned View::active_count() const { return impl_->active_count(); }
--- a/src/members/view.h
+++ b/src/members/view.h
@@ -1,6 +1,9 @@
-// The fleet as one node sees it: who runs, who is suspected, who is gone. From datagrams to datagrams; time
-// comes in with at(), as in the decision module, and each call may act on the outlet before it returns. A
-// view is an opinion: nothing that must happen once may hang on it. docs/design-members.md tells the ways.
+// Membership of the fleet as seen by one node: who is alive, suspected, failed or gone. SWIM-style probes and
+// gossip, with anti-entropy sync. No I/O and no clock: datagrams come in with received(), time with
+// set_time(), and any call may act on the delegate before it returns.
+//
+// Views are eventually consistent, and a live member may be reported as failed. Nothing that must happen only
+// once may rely on them. docs/design-members.md describes the protocol.
 #pragma once
 
 #include <array>
@@ -19,53 +22,57 @@
   MemberState state = MemberState::alive;
   Address address;
   std::string zone, version, metadata;
-  std::string reported_by;  // whose word its standing is
-  Micros since{0};          // its standing
+  std::string reported_by;  // the member whose report led to `state`
+  Micros since{0};          // of `state`
 };
 
-// Work done and things dropped, since the start.
+// Totals since the view was created.
 struct ViewCounters {
-  std::uint64_t sent = 0, sent_bytes = 0, received = 0, throttled = 0;
-  std::array<std::uint64_t, 7> decode_errors{};  // by Wrong
-  std::uint64_t rejected_members = 0;            // names past the most
+  std::uint64_t sent = 0, sent_bytes = 0, received = 0;  // datagrams, and the bytes of those sent
+  std::uint64_t throttled = 0;                           // datagrams not sent for lack of send budget
+  std::array<std::uint64_t, 7> decode_errors{};          // by DecodeError
+  std::uint64_t rejected_members = 0;                    // not added because the view was full
 };
 
 class ViewDelegate {
  public:
   virtual ~ViewDelegate() = default;
   virtual void send(const Address& to, std::string_view bytes) = 0;  // may be lost
+  // Calls timer_expired(timer) after the delay.
   virtual void set_timer(Micros delay, TimerId timer) = 0;
-  // A member's standing is another than before, or it was not known before.
-  virtual void on_member_changed(std::string_view name, const Member& now, bool fresh) = 0;
-  virtual void log(std::string_view line) = 0;  // for the log
+  // The member's state or generation has changed, or the member was added (`added`).
+  virtual void on_member_changed(std::string_view name, const Member& member, bool added) = 0;
+  virtual void log(std::string_view line) = 0;
 };
 
 class View {
  public:
-  // Nothing happens before begin(). `start`: as the wall clock gives it; what the fleet remembers of this
-  // name may ask for a later one. `interval`: between two probes. `forget`: a failed
-  // member counts so long. `most`: members known at a time.
+  // Idle until start(). `generation`: from the wall clock; raised if the fleet remembers a later one for this
+  // name. `advertised`: the address that other members send to. `forget_after`: how long a failed member is
+  // remembered. `max_members`: that are known at a time. `seed`: of the random numbers.
   View(ViewDelegate& delegate, std::string fleet, std::string name, Generation generation,
-       const Address& told, std::string zone, std::string version, std::vector<Address> seeds,
-       Micros interval, Micros forget, std::size_t most, std::uint64_t seed);
+       const Address& advertised, std::string zone, std::string version, std::vector<Address> seeds,
+       Micros probe_interval, Micros forget_after, std::size_t max_members, std::uint64_t seed);
   ~View();
 
+  // Sets the current time, which must not go back; call it before any other call.
   void set_time(Micros now);
   void start();
   void received(const Address& from, std::string_view bytes);
   void timer_expired(TimerId timer);
   void set_seeds(std::vector<Address> seeds);
-  // From now on others are told that this node leaves.
+  // Announces to the other members that this node is leaving.
   void leave();
-  // What the node wants passed on, at most kLongestNote bytes.
+  // Application data spread with this node's updates; truncated to kMaxMetadataBytes.
   void set_metadata(std::string_view metadata);
 
-  // Puts the addresses of so many members drawn by chance behind `to`: of this node's zone, and of others.
-  // Fewer where there are not so many; all from the other side where one has none.
-  void pick_members(std::size_t near, std::size_t far, std::vector<Address>& to);
+  // Appends to `to` the addresses of up to `same_zone` random members of this node's zone and up to
+  // `other_zones` of other zones. If one of the two kinds has no members, the other kind fills its share.
+  void pick_members(std::size_t same_zone, std::size_t other_zones, std::vector<Address>& to);
 
-  std::uint64_t digest() const;  // the same where two views are
-  // Whoever may still be acting: all that are not known to have left. Zero while this node has not joined.
+  std::uint64_t digest() const;  // equal for equal views
+  // Members that may still be running, this node included: all but those known to have left. Zero until this
+  // node has joined.
   unsigned active_count() const;
   bool joined() const;
   const ViewCounters& counters() const;
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -97,10 +97,10 @@
 flintweir_flaw(verdict-never members view-ghost src/members/view.cpp
   "kMinSuspicionIntervals = 4;" "kMinSuspicionIntervals = 4000;")
 flintweir_flaw(dead-raised members view-back src/members/view.cpp
-  "    if (is_terminal(m.state)) {" "    if (is_terminal(m.state) && update.state != MemberState::alive) {"
-  "        if (update.incarnation > m.incarnation) apply_newer(update.name, update);" "        apply_newer(update.name, update);")
+  "    if (is_terminal(member.state)) {" "    if (is_terminal(member.state) && update.state != MemberState::alive) {"
+  "        if (update.incarnation > member.incarnation) apply_newer(update.name, update);" "        apply_newer(update.name, update);")
 flintweir_flaw(start-goes-back members view-back src/members/view.cpp
-  "    if (update.generation < m.generation) return;" "    if (update.generation < m.generation) return apply_newer(update.name, update);")
+  "    if (update.generation < member.generation) return;" "    if (update.generation < member.generation) return apply_newer(update.name, update);")
 flintweir_flaw(gossip-without-end members view-bound src/members/view.cpp
   "kGossipRoundsPerInterval = 3;" "kGossipRoundsPerInterval = 100;"
   "      --(*it)->second.transmits_left;" ""
@@ -110,21 +110,21 @@
 
 # Leases.
 flintweir_flaw(voter-forgets search two-hold src/leases/voter.cpp
-  "silent_until_(kept ? now : now + longest)" "silent_until_(now)")
+  "silent_until_(saved ? now : now + max_duration)" "silent_until_(now)")
 flintweir_flaw(counts-from-answer search two- src/leases/candidate.cpp
-  "std::max(end_, sent_at_ + usable_duration(length_))" "std::max(end_, now_ + usable_duration(length_))")
+  "std::max(expires_, sent_at_ + usable_duration(duration_))" "std::max(expires_, now_ + usable_duration(duration_))")
 flintweir_flaw(rates-not-allowed-for search two-hold src/leases/candidate.cpp
-  "sent_at_ + usable_duration(length_)" "sent_at_ + length_")
+  "sent_at_ + usable_duration(duration_)" "sent_at_ + duration_")
 flintweir_flaw(majority-of-answers search two-hold src/leases/candidate.cpp
-  "> voters_;" "> static_cast<std::size_t>(std::popcount(yes_ | no_));")
+  "> voters_;" "> static_cast<std::size_t>(std::popcount(accepted_ | rejected_));")
 flintweir_flaw(token-starts-again search token-falls src/leases/voter.cpp
-  "      if (r.token <= e.promised) return reply(ReplyKind::preempted);" "")
+  "      if (request.token <= entry.promised) return make_reply(ReplyKind::preempted);" "")
 flintweir_flaw(act-not-measured search two-at-once src/leases/candidate.cpp
-  "max_duration > end_ - now_" "max_duration < Micros{0}")
+  "max_duration > expires_ - now_" "max_duration < Micros{0}")
 flintweir_flaw(smaller-token-renews search two- src/leases/voter.cpp
-  "if (r.token != e.promised || who != e.promised_to) return" "if (r.token > e.promised) return")
+  "if (request.token != entry.promised || client != entry.promised_to)" "if (request.token > entry.promised)")
 flintweir_flaw(grant-not-kept search two- src/leases/voter.cpp
-  "(e.granted != r.token || e.holder != who) && !keep(it->first, next)" "false")
+  "(entry.granted != request.token || entry.holder != client) && !save(it->first, next)" "false")
 
 # What happens between two lines: one exchange cut after each byte, with each event there.
 flintweir_flaw(gone-and-dialled crossings left-dialled src/line/proxy_session.cpp
