--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -1,5 +1,6 @@
-// Leases: their datagrams, promises on disk with each single write and sync failing in turn, the decisions in
-// every order, and several processes of the program with faults between them, judged by a ledger.
+// Leases: the datagrams, promises on disk while each write, rename or sync fails in turn, a state-space
+// search of the protocol, and several processes of the program with network faults between them, checked by a
+// ledger of their operations.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -25,71 +26,71 @@
 using namespace std::chrono_literals;
 using namespace leases;
 
-struct Counting final : DatagramHandler {
+struct CountingHandler final : DatagramHandler {
   std::size_t items = 0;
   void on_request(const Sender&, const Request&) override { ++items; }
   void on_reply(const Sender&, const Reply&) override { ++items; }
   void on_lease_status(const Sender&, const LeaseStatus&) override { ++items; }
 };
 
-// Each kind comes back as it was said; one byte changed, or a byte less, and nothing of it is heard.
-TEST(LeaseDatagrams, AreHeardWholeOrNotAtAll) {
-  std::knuth_b chance(7);
-  const Sender from{chance(), "n1/17", *parse_address("127.0.0.1:7946")};
+// Guards against decoding part of a damaged datagram: each kind decodes, but once a byte is changed or the
+// end is cut off, the handler must not be called at all.
+TEST(LeaseDatagrams, AreDecodedCompletelyOrNotAtAll) {
+  std::knuth_b rng(7);
+  const Sender from{rng(), "n1/17", *parse_address("127.0.0.1:7946")};
   for (int round = 0; round < 3000; ++round) {
-    const auto kind = static_cast<DatagramWriter::Kind>(1 + chance() % 3);
-    DatagramWriter w(kind, from);
-    if (kind == DatagramWriter::Kind::status_page) w.set_last(chance() % 2);
-    std::size_t items = chance() % 9, said = 0;
-    for (; said < items; ++said) {
-      const bool fits =
-          kind == DatagramWriter::Kind::requests
-              ? w.add(Request{RequestKind::grant, "job", {chance()}, {chance()}, 2s})
-          : kind == DatagramWriter::Kind::replies
-              ? w.add(Reply{ReplyKind::held, "job", {chance()}, {chance()}, {chance()}, "n2/9", 1s})
-              : w.add(LeaseStatus{"job", "n2/9", {chance()}, 1s, 3});
+    const auto kind = static_cast<DatagramWriter::Kind>(1 + rng() % 3);
+    DatagramWriter writer(kind, from);
+    if (kind == DatagramWriter::Kind::status_page) writer.set_last(rng() % 2);
+    std::size_t items = rng() % 9, written = 0;
+    for (; written < items; ++written) {
+      const bool fits = kind == DatagramWriter::Kind::requests
+                            ? writer.add(Request{RequestKind::grant, "job", {rng()}, {rng()}, 2s})
+                        : kind == DatagramWriter::Kind::replies
+                            ? writer.add(Reply{ReplyKind::held, "job", {rng()}, {rng()}, {rng()}, "n2/9", 1s})
+                            : writer.add(LeaseStatus{"job", "n2/9", {rng()}, 1s, 3});
       ASSERT_TRUE(fits);
     }
-    const std::string good(w.finish());
-    Counting heard, silent;
-    ASSERT_TRUE(decode(good, heard));
-    EXPECT_EQ(heard.items, said);
+    const std::string good(writer.finish());
+    CountingHandler accepted, rejected;
+    ASSERT_TRUE(decode(good, accepted));
+    EXPECT_EQ(accepted.items, written);
     std::string bad = good;
-    if (chance() % 2)
-      bad.resize(chance() % bad.size());
+    if (rng() % 2)
+      bad.resize(rng() % bad.size());
     else
-      bad[chance() % bad.size()] ^= static_cast<char>(1 + chance() % 255);
-    EXPECT_FALSE(decode(bad, silent));
-    EXPECT_EQ(silent.items, 0u);
+      bad[rng() % bad.size()] ^= static_cast<char>(1 + rng() % 255);
+    EXPECT_FALSE(decode(bad, rejected));
+    EXPECT_EQ(rejected.items, 0u);
   }
 }
 
-// A disk of which the call of that number fails, or is the last one before a crash.
-struct BadDisk final : node::Directory {
+// A directory in memory whose call number `failing_call` fails; with `crashes` all later calls fail as well.
+struct FailingDisk final : node::Directory {
   std::map<std::string, std::string> files;
-  int calls = 0, fails_at = -1;
-  bool dies = false, dead = false;
-  bool fails() {
-    if (dead) return true;
-    const bool now = calls++ == fails_at;
-    dead = now && dies;
-    return now;
+  int calls = 0, failing_call = -1;
+  bool crashes = false, crashed = false;
+  bool next_call_fails() {
+    if (crashed) return true;
+    const bool fails = calls++ == failing_call;
+    crashed = fails && crashes;
+    return fails;
   }
   bool write(const std::string& name, std::string_view bytes) override {
-    if (fails()) {
-      files[name] = bytes.substr(0, bytes.size() / 2);  // as far as it came
+    if (next_call_fails()) {
+      files[name] = bytes.substr(0, bytes.size() / 2);  // a partial write
       return false;
     }
     files[name] = bytes;
     return true;
   }
   bool rename(const std::string& from, const std::string& to) override {
-    if (fails()) return false;
+    if (next_call_fails()) return false;
     files[to] = files[from];
     files.erase(from);
     return true;
   }
-  bool sync() override { return !fails(); }
+  bool sync() override { return !next_call_fails(); }
   std::optional<std::string> read(const std::string& name) override { return files.at(name); }
   std::vector<std::string> file_names() override {
     std::vector<std::string> out;
@@ -98,149 +99,153 @@
   }
 };
 
-// Guards against a vote that is answered and then forgotten, and against a promise found in part: each call
-// of the disk fails in turn, with the process going on or ended there.
-TEST(Promises, OutlastEachFailureOfTheDisk) {
-  for (const bool dies : {false, true}) {
-    for (int fails_at = 3; fails_at < 21; ++fails_at) {
-      BadDisk disk;
-      std::uint64_t answered = 0;
+// Guards against a promise that is sent but lost at a restart, and against reading a partly written one: each
+// call of the disk fails in turn, and the process continues or crashes there.
+TEST(Promises, SurviveEachFailureOfTheDisk) {
+  for (const bool crashes : {false, true}) {
+    for (int failing_call = 3; failing_call < 21; ++failing_call) {
+      FailingDisk disk;
+      std::uint64_t granted = 0;
       {
         node::PromiseStore folder(disk, "n1");
         EXPECT_FALSE(folder.loaded());
-        disk.fails_at = fails_at, disk.dies = dies;
+        disk.failing_call = failing_call, disk.crashes = crashes;
         Voter voter(2s, Token{10}, 0s, &folder);
-        for (std::uint64_t t = 11; t < 14; ++t) {
-          if (voter.handle(3s, {RequestKind::prepare, "job", Token{t}, Round{1}, 2s}, "a") &&
-              voter.handle(3s, {RequestKind::grant, "job", Token{t}, Round{1}, 2s}, "a"))
-            answered = t;
+        for (std::uint64_t token = 11; token < 14; ++token) {
+          if (voter.handle(3s, {RequestKind::prepare, "job", Token{token}, Round{1}, 2s}, "a") &&
+              voter.handle(3s, {RequestKind::grant, "job", Token{token}, Round{1}, 2s}, "a"))
+            granted = token;
         }
       }
-      disk.dead = false, disk.fails_at = -1;
-      node::PromiseStore again(disk, "n1");
-      ASSERT_TRUE(again.loaded());
-      Voter voter(2s, Token{0}, 0s, &again, again.loaded());
-      // Whatever was granted still stands in the way of another, and tokens go on from there.
+      disk.crashed = false, disk.failing_call = -1;
+      node::PromiseStore reopened(disk, "n1");
+      ASSERT_TRUE(reopened.loaded());
+      Voter voter(2s, Token{0}, 0s, &reopened, reopened.loaded());
+      // A grant still blocks other clients, and tokens continue from it.
       const auto reply = voter.handle(1ms, {RequestKind::prepare, "job", Token{1000}, Round{1}, 2s}, "b");
-      if (answered > 0) {
+      if (granted > 0) {
         ASSERT_TRUE(reply);
-        EXPECT_EQ(reply->kind, ReplyKind::queued) << fails_at << ' ' << dies;
-        EXPECT_GE(reply->highest_promised.value, answered);
+        EXPECT_EQ(reply->kind, ReplyKind::queued) << failing_call << ' ' << crashes;
+        EXPECT_GE(reply->highest_promised.value, granted);
       }
       EXPECT_THROW(node::PromiseStore(disk, "n2"), std::runtime_error);
     }
   }
 }
 
-struct Asked final : Candidate::Delegate {
+struct RecordingDelegate final : Candidate::Delegate {
   std::vector<Round> rounds;
   Token token;
   bool holds = false;
-  void send_request(VoterIndex, const Request& r) override { rounds.push_back(r.round), token = r.token; }
-  void set_timer(Micros, TimerId id) override { last = id; }
+  void send_request(VoterIndex, const Request& request) override {
+    rounds.push_back(request.round), token = request.token;
+  }
+  void set_timer(Micros, TimerId timer) override { last_timer = timer; }
   void on_acquired(Token) override { holds = true; }
   void on_lost(Token, std::string_view) override { holds = false; }
   void on_waiting(std::string_view) override {}
-  TimerId last;
+  TimerId last_timer;
 };
 
-// Guards against an answer to an earlier renewal that is counted from the later one's time: the voter's time
-// runs from the earlier. Guards as well against an act that does not fit into what is left.
-TEST(Holder, CountsOnlyAnswersToItsLastQuestion) {
-  Asked asked;
-  Candidate seeker(asked, "job", 3, 10s, Token{1}, 3);
-  seeker.set_time(0s);
-  seeker.acquire();
-  const auto answer = [&](std::uint32_t voter, ReplyKind say, Round round) {
-    seeker.on_reply(VoterIndex{voter}, {say, "job", asked.token, round, asked.token, {}, 0s});
+// Guards against a delayed reply to an earlier renewal that extends the lease from the time of the later one,
+// although the voter counts from the earlier. Also guards against an operation longer than the remaining
+// time.
+TEST(Candidate, CountsOnlyRepliesToItsLastRequest) {
+  RecordingDelegate delegate;
+  Candidate candidate(delegate, "job", 3, 10s, Token{1}, 3);
+  candidate.set_time(0s);
+  candidate.acquire();
+  const auto reply_from = [&](std::uint32_t voter, ReplyKind kind, Round round) {
+    candidate.on_reply(VoterIndex{voter}, {kind, "job", delegate.token, round, delegate.token, {}, 0s});
   };
-  for (const std::uint32_t v : {0u, 1u}) answer(v, ReplyKind::promised, asked.rounds.back());
-  answer(0, ReplyKind::granted, asked.rounds.back());
-  answer(0, ReplyKind::granted, asked.rounds.back());  // doubled: still one voter
-  EXPECT_FALSE(asked.holds);
-  answer(1, ReplyKind::granted, asked.rounds.back());
-  ASSERT_TRUE(asked.holds);
-  EXPECT_EQ(seeker.remaining(), usable_duration(10s));
-  EXPECT_TRUE(seeker.begin_operation(9s));
-  EXPECT_FALSE(seeker.begin_operation(usable_duration(10s) + 1us));
-  seeker.set_time(4s);
-  seeker.timer_expired(asked.last);
-  const Round first = asked.rounds.back();
-  seeker.set_time(8s);
-  seeker.timer_expired(asked.last);
-  ASSERT_NE(asked.rounds.back(), first);
-  for (const std::uint32_t v : {0u, 1u}) answer(v, ReplyKind::granted, first);
-  EXPECT_EQ(seeker.remaining(), usable_duration(10s) - 8s);
-  seeker.set_time(10s);
-  EXPECT_FALSE(asked.holds);
-  EXPECT_FALSE(seeker.begin_operation(1us));
+  for (const std::uint32_t v : {0u, 1u}) reply_from(v, ReplyKind::promised, delegate.rounds.back());
+  reply_from(0, ReplyKind::granted, delegate.rounds.back());
+  reply_from(0, ReplyKind::granted, delegate.rounds.back());  // a duplicate counts as one voter
+  EXPECT_FALSE(delegate.holds);
+  reply_from(1, ReplyKind::granted, delegate.rounds.back());
+  ASSERT_TRUE(delegate.holds);
+  EXPECT_EQ(candidate.remaining(), usable_duration(10s));
+  EXPECT_TRUE(candidate.begin_operation(9s));
+  EXPECT_FALSE(candidate.begin_operation(usable_duration(10s) + 1us));
+  candidate.set_time(4s);
+  candidate.timer_expired(delegate.last_timer);
+  const Round earlier_round = delegate.rounds.back();
+  candidate.set_time(8s);
+  candidate.timer_expired(delegate.last_timer);
+  ASSERT_NE(delegate.rounds.back(), earlier_round);
+  for (const std::uint32_t v : {0u, 1u}) reply_from(v, ReplyKind::granted, earlier_round);
+  EXPECT_EQ(candidate.remaining(), usable_duration(10s) - 8s);
+  candidate.set_time(10s);
+  EXPECT_FALSE(delegate.holds);
+  EXPECT_FALSE(candidate.begin_operation(1us));
 }
 
-TEST(Search, FindsNoOrderInWhichTwoHold) {
+TEST(Search, FindsNoOrderInWhichTwoHoldTheLease) {
   for (const bool folders : {false, true}) {
-    lab::LeaseSearch of;
-    of.folders = folders, of.held = true, of.restarts = 1, of.most_states = FLINTWEIR_LEASE_STATES;
-    const lab::LeaseFound searched = search_leases(of),
-                          walked = walk_leases(of, 1, FLINTWEIR_LEASE_STATES / 15, 400);
+    lab::LeaseSearch search;
+    search.folders = folders, search.held = true, search.restarts = 1,
+    search.most_states = FLINTWEIR_LEASE_STATES;
+    const lab::LeaseFound searched = search_leases(search),
+                          walked = walk_leases(search, 1, FLINTWEIR_LEASE_STATES / 15, 400);
     EXPECT_FALSE(searched.broken) << *searched.broken;
     EXPECT_FALSE(walked.broken) << *walked.broken;
-    EXPECT_GT(walked.grants, 200u);  // else nothing was at stake
+    EXPECT_GT(walked.grants, 200u);  // otherwise nothing has been tested
   }
 }
 
-// The nodes' own code in virtual time, clocks at both ends of the bound.
-TEST(LeasesBySeed, NeverActTwoAtOnce) {
+// The nodes' code in virtual time, with clocks at both ends of the allowed drift.
+TEST(LeasesBySeed, NeverRunTwoOperationsAtOnce) {
   std::uint64_t acts = 0;
   for (std::uint64_t seed = 1; seed <= FLINTWEIR_LEASE_STATES / 100; ++seed) {
-    const lab::LeaseRun out = lab::run_leases_virtual(seed, "");
-    acts += out.acts;
-    for (const std::string& b : out.broken)
-      ADD_FAILURE() << "seed " << seed << ", " << out.trouble << ": " << b;
+    const lab::LeaseRun run = lab::run_leases_virtual(seed, "");
+    acts += run.acts;
+    for (const std::string& b : run.broken)
+      ADD_FAILURE() << "seed " << seed << ", " << run.trouble << ": " << b;
   }
   EXPECT_GT(acts, FLINTWEIR_LEASE_STATES / 100 * 50);
 }
 
-int status_of(const std::string& words) {
+int exit_status(const std::string& arguments) {
   return WEXITSTATUS(
-      std::system((std::string(FLINTWEIR_PROGRAM) + ' ' + words + " >/dev/null 2>&1").c_str()));
+      std::system((std::string(FLINTWEIR_PROGRAM) + ' ' + arguments + " >/dev/null 2>&1").c_str()));
 }
 
-TEST(LeaseTool, TellsByItsStatus) {
+TEST(LeaseTool, ReportsByExitStatus) {
   const auto file = std::filesystem::temp_directory_path() / ("flintweir-leases-" + std::to_string(getpid()));
-  const auto with = [&](const std::string& voters) {
+  const auto operator_file = [&](const std::string& voters) {
     std::ofstream(file, std::ios::trunc)
         << "[fleet]\nname = \"a\"\naddress = \"127.0.0.1:9\"\n[leases]\nvoters = " << voters << '\n';
     return " --operator " + file.string();
   };
-  EXPECT_EQ(status_of("check" + with("[\"n1\", \"n2\", \"n3\"]")), 0);
-  EXPECT_EQ(status_of("check" + with("[\"n1\", \"n2\"]")), 1);          // an even number
-  EXPECT_EQ(status_of("check" + with("[\"n1\", \"n1\", \"n2\"]")), 1);  // one twice
-  EXPECT_EQ(status_of("lease list" + with("[\"n1\"]")), 3);             // nobody answers
-  EXPECT_EQ(status_of("lease hold job" + with("[\"n1\"]")), 2);
-  EXPECT_EQ(status_of("lease list"), 2);
+  EXPECT_EQ(exit_status("check" + operator_file("[\"n1\", \"n2\", \"n3\"]")), 0);
+  EXPECT_EQ(exit_status("check" + operator_file("[\"n1\", \"n2\"]")), 1);          // even number of voters
+  EXPECT_EQ(exit_status("check" + operator_file("[\"n1\", \"n1\", \"n2\"]")), 1);  // duplicate
+  EXPECT_EQ(exit_status("lease list" + operator_file("[\"n1\"]")), 3);             // no reply
+  EXPECT_EQ(exit_status("lease hold job" + operator_file("[\"n1\"]")), 2);
+  EXPECT_EQ(exit_status("lease list"), 2);
   std::filesystem::remove(file);
 }
 
-// Five voters and four would-be holders each, one kind of trouble, eight rigs at a time.
-TEST(LeaseProcesses, NeverActTwoAtOnce) {
+// Five voters and four clients with one kind of fault at a time; eight setups run in parallel.
+TEST(LeaseProcesses, NeverRunTwoOperationsAtOnce) {
   const auto& kinds = lab::lease_troubles();
   std::atomic<std::size_t> next{0};
   std::mutex mutex;
   const auto folder =
       std::filesystem::temp_directory_path() / ("flintweir-leases-rig-" + std::to_string(getpid()));
-  const auto work = [&] {
+  const auto worker = [&] {
     for (std::size_t i; (i = next++) < kinds.size();) {
-      const auto own = folder / kinds[i];
-      std::filesystem::create_directories(own);
-      const lab::LeaseRun out =
-          lab::run_leases(5 + i, kinds[i], {FLINTWEIR_PROGRAM}, FLINTWEIR_LAB_TOOL, own.string());
+      const auto case_folder = folder / kinds[i];
+      std::filesystem::create_directories(case_folder);
+      const lab::LeaseRun run =
+          lab::run_leases(5 + i, kinds[i], {FLINTWEIR_PROGRAM}, FLINTWEIR_LAB_TOOL, case_folder.string());
       const std::lock_guard lock(mutex);
-      for (const std::string& b : out.broken) ADD_FAILURE() << kinds[i] << ": " << b;
-      EXPECT_GT(out.acts, 20u) << kinds[i];
+      for (const std::string& b : run.broken) ADD_FAILURE() << kinds[i] << ": " << b;
+      EXPECT_GT(run.acts, 20u) << kinds[i];
     }
   };
   std::vector<std::thread> threads;
-  for (int i = 0; i < 8; ++i) threads.emplace_back(work);
+  for (int i = 0; i < 8; ++i) threads.emplace_back(worker);
   for (std::thread& t : threads) t.join();
   std::filesystem::remove_all(folder);
 }
