--- a/src/members/view.cpp
+++ b/src/members/view.cpp
@@ -1133,15 +1133,16 @@
   std::map<std::uint64_t, IndirectProbe> indirect_probes_;  // by the nonce of this node's ping
   DecayingMean round_trip_;                                 // seconds
   std::vector<std::string> nacked_by_;  // helpers that got no ack from the member being probed
-  // Local health as in Lifeguard: grows when this node's own suspicions are refuted or it was paused, shrinks
-  // with each ack, and lengthens probe intervals and timeouts.
+  // Local health as in Lifeguard: grows when a suspicion reported by this node is refuted, when others report
+  // this node as suspected or failed, and after a pause of the process; shrinks with each answered probe.
+  // Lengthens probe intervals and timeouts.
   int health_penalty_ = 0;
   int claim_attempts_ = 0;
   std::uint8_t probe_history_ = 0;  // one bit for each of the last eight probes, set if it was answered
   bool probe_answered_ = false, gossip_timer_set_ = false, suspicion_timer_set_ = false, muted_ = false;
   bool claim_pending_ = false, name_taken_ = false;
-  bool self_mentioned_ =
-      false;  // the current datagram has an update about this node, whose sender awaits a reply
+  // The current datagram has an update about this node; its sender awaits a reply.
+  bool self_mentioned_ = false;
   Address rival_address_, source_;
   Generation highest_rival_generation_;
   Micros now_{0}, started_at_ = kNever, probe_due_at_ = Micros::max(), refilled_at_{0}, seed_retry_delay_{0},
