--- a/src/leases/candidate.cpp
+++ b/src/leases/candidate.cpp
@@ -7,9 +7,10 @@
 namespace {
 
 // Shares of the lease duration.
-constexpr int kReplyTimeoutDivisor = 8;    // for the replies of a majority; also bounds the random delays
-constexpr int kMaxBackoffDivisor = 2;      // upper limit of the backoff when too few voters reply
-constexpr int kReleaseJitterDivisor = 64;  // spreads the clients that are told of a release at once
+constexpr int kReplyTimeoutDivisor = 8;  // for the replies of a majority; also bounds the random delays
+constexpr int kMaxBackoffDivisor = 2;    // upper limit of the backoff when too few voters reply
+constexpr int kReleaseJitterDivisor =
+    64;  // spreads the clients that are notified of a release at the same time
 // A client that no voter has queued retries within this many lease durations after the lease expires.
 constexpr int kUnqueuedRetryFactor = 4;
 // A holder renews after this share of the usable duration.
@@ -169,7 +170,7 @@
 void Candidate::on_reply(VoterIndex voter, const Reply& reply) {
   highest_seen_ = std::max(highest_seen_, reply.highest_promised);
   if (reply.kind == ReplyKind::released) {
-    // Several clients are told at once.
+    // Several clients are notified at the same time.
     if (phase_ == Phase::waiting && wanted_)
       set_timer(random_delay(duration_ / kReleaseJitterDivisor), Timer::retry);
     return;
--- a/src/members/view.cpp
+++ b/src/members/view.cpp
@@ -38,7 +38,7 @@
 constexpr int kMinTransmits = 3;                    // per update, plus one per doubling of the fleet size
 constexpr std::size_t kMaxUpdatesPerDatagram = 40;  // no more than this fit
 constexpr std::size_t kMaxSyncDatagrams = 4;        // in reply to one sync digest
-constexpr std::size_t kWelcomeMembers = 4;          // other members that a newcomer is told about
+constexpr std::size_t kWelcomeMembers = 4;          // other members included in the ack to a newcomer
 
 constexpr std::size_t kIndirectProbes = 3;      // members asked to ping a member that does not answer
 constexpr std::size_t kMaxIndirectProbes = 64;  // pending at a time on behalf of others
@@ -365,7 +365,7 @@
     set_timer(jittered(interval_ / kGossipRoundsPerInterval, 0.2), Timer::gossip);
   }
 
-  // Addresses of at most `count` random members that are neither failed nor gone, without `excluded`.
+  // Addresses of at most `count` random members that have neither failed nor left, without `excluded`.
   std::vector<Address> random_peers(std::size_t count, std::string_view excluded) {
     std::vector<Address> out;
     std::set<std::size_t> tried;
@@ -383,8 +383,8 @@
     return name != name_ && !is_terminal(entry.member.state);
   }
 
-  // The digest covers only members that are neither failed nor gone, since nodes forget those at different
-  // times and equal views would differ.
+  // The digest covers only members that have neither failed nor left: nodes forget those at different times,
+  // which would make equal views differ.
 
   static std::size_t bucket_of(std::string_view name) {
     return XXH3_64bits(name.data(), name.size()) % kDigestBuckets;
@@ -526,7 +526,7 @@
     }
   }
 
-  // Evicts the member that has been failed or gone the longest, if the view is full; false: there is none.
+  // If the view is full, evicts the member that failed or left the longest time ago; false if there is none.
   bool make_room() {
     if (members_.size() < max_members_) return true;
     auto oldest = members_.end();
@@ -632,8 +632,8 @@
     }
     check_sender(from);
     const auto it = members_.find(from.name);
-    // A sender that is failed or suspected here, or known by another generation, is told so with the ack, so
-    // that it can refute it.
+    // The ack to a sender that is failed or suspected in this view, or known by another generation, says so,
+    // so that the sender can refute it.
     const bool can_refute =
         it != members_.end() && !is_rechecked(it->second) &&
         (is_terminal(it->second.member.state) || it->second.member.state == MemberState::suspected ||
@@ -674,7 +674,7 @@
                                                   it->second.member.state == MemberState::failed &&
                                                   it->second.member.generation == from.generation) {
       // A member that this node marked as failed answers. If it is in the larger partition, this node was the
-      // one cut off: it rechecks all members it marked as failed.
+      // partitioned one: it rechecks all members it marked as failed.
       if (!is_rechecked(it->second) && !outweighs(from)) {
         recheck_failed();
         advance_generation(me().generation);
@@ -822,7 +822,7 @@
     if (update.name == name_) return handle_own_update(from, update);
     if (is_muted()) return;
     const auto sender = members_.find(from.name);
-    // Reports from a sender that is failed in this view are ignored; it is told so first.
+    // Reports from a sender that is failed in this view are ignored until it has refuted its failure.
     if (sender != members_.end() && update.name != from.name && update.state > MemberState::alive &&
         is_terminal(sender->second.member.state) && sender->second.member.generation >= from.generation)
       return;
@@ -836,7 +836,8 @@
       return;
     }
     if (is_terminal(member.state)) {
-      // Someone reports it as running: it has to learn that it needs a later generation.
+      // It is reported as running, by itself or by another member: it has to learn that it needs a later
+      // generation.
       if (member.state == MemberState::failed && update.state < MemberState::failed)
         notify_accused(update.name);
       if (member.state == MemberState::failed && update.state == MemberState::left)
@@ -921,8 +922,8 @@
     if (update.generation == member.generation && update.address == member.address) {
       if (update.state == MemberState::failed || update.state == MemberState::left) {
         if (member.state == MemberState::leaving) return;
-        // The smaller partition yields, so that a single node that was cut off does not force all others into
-        // a new generation.
+        // The smaller partition yields, so that a single partitioned node does not force all others into a
+        // new generation.
         if (outweighs(from)) return;
         health_penalty_ = std::min(health_penalty_ + 1, kMaxHealthPenalty);
         recheck_failed();
@@ -952,8 +953,8 @@
     set_timer(interval_ * kClaimTimeoutIntervals / 2, Timer::claim_timeout, ++claim_seq_);
   }
 
-  // After a partition: members that this node marked as failed while it was cut off get the chance to answer;
-  // an ack proves that they were running all the time.
+  // After a partition: members that this node marked as failed while it was partitioned get the chance to
+  // answer; an ack proves that they were running all the time.
   void recheck_failed() {
     for (GossipEntry& entry : members_) {
       if (entry.second.member.state != MemberState::failed) continue;
--- a/src/members/view.h
+++ b/src/members/view.h
@@ -1,5 +1,5 @@
-// Membership of the fleet as seen by one node: who is alive, suspected, failed or gone. SWIM-style probes and
-// gossip, with anti-entropy sync. No I/O and no clock: datagrams come in with received(), time with
+// Membership of the fleet as seen by one node: who is alive, suspected, failed or has left. SWIM-style probes
+// and gossip, with anti-entropy sync. No I/O and no clock: datagrams come in with received(), time with
 // set_time(), and any call may act on the delegate before it returns.
 //
 // Views are eventually consistent, and a live member may be reported as failed. Nothing that must happen only
