--- a/src/leases/candidate.cpp
+++ b/src/leases/candidate.cpp
@@ -7,10 +7,9 @@
 namespace {
 
 // Shares of the lease duration.
-constexpr int kReplyTimeoutDivisor = 8;  // for the replies of a majority; also bounds the random delays
-constexpr int kMaxBackoffDivisor = 2;    // upper limit of the backoff when too few voters reply
-constexpr int kReleaseJitterDivisor =
-    64;  // spreads the clients that are notified of a release at the same time
+constexpr int kReplyTimeoutDivisor = 8;    // for the replies of a majority; also bounds the random delays
+constexpr int kMaxBackoffDivisor = 2;      // upper limit of the backoff when too few voters reply
+constexpr int kReleaseJitterDivisor = 64;  // spreads clients notified of the same release
 // A client that no voter has queued retries within this many lease durations after the lease expires.
 constexpr int kUnqueuedRetryFactor = 4;
 // A holder renews after this share of the usable duration.
