--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -10,18 +10,18 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kWait = 20s;  // of a watch, at most
-// A watch that has not answered so long after its wait is taken to have fallen silent: what it misses counts
-// as told kAfterWait after that wait, and a whole list has to be here by then.
-constexpr Micros kWatchSlack = StalenessClock::kAfterWait / 4;
-// Between a call that failed and the next, where the module's pause is longer.
-constexpr Micros kShortestPause = 500ms;
-// A call that is to be answered at once is left so long after it went out, in time for one more. Guards
-// against calls that are given up, and made anew behind all others, just before a crowded service comes to
-// them.
-constexpr Micros kAnswerWithin = StalenessClock::kAfterChange - StalenessClock::kAfterWait;
-
-std::optional<HostStatus> standing_of(std::string_view state) {
+constexpr Micros kMaxLongPollWait = 20s;
+// A long poll without a response this long after its wait is given up. Changes that it did not report bind
+// this node kLongPollDeadline after that wait, and the whole list has to arrive before then.
+constexpr Micros kLongPollSlack = StalenessClock::kLongPollDeadline / 4;
+// The shortest delay of a retry that is sent earlier than the balancer's own retry would be.
+constexpr Micros kMinRetryDelay = 500ms;
+// Timeout of a request for an immediate response; leaves time for one more request before the deadline. A
+// shorter timeout would give up requests just before an overloaded service gets to them, and the new requests
+// would queue behind all others.
+constexpr Micros kResponseTimeout = StalenessClock::kChangeDeadline - StalenessClock::kLongPollDeadline;
+
+std::optional<HostStatus> parse_host_status(std::string_view state) {
   if (state == "SERVING") return HostStatus::active;
   if (state == "DRAINING") return HostStatus::draining;
   if (state == "DELETED") return HostStatus::removed;
@@ -30,56 +30,57 @@
 
 }  // namespace
 
-void Discovery::watch(bool fresh) {
-  if (std::exchange(watching_, true)) return;
-  if (fresh) version_.reset();
-  ask();
+void Discovery::poll(bool whole_list) {
+  if (std::exchange(polling_, true)) return;
+  if (whole_list) version_.reset();
+  send_request();
 }
 
-void Discovery::switch_to(const Address& at) {
-  if (at == get_.server()) {
+void Discovery::switch_service(const Address& service) {
+  if (service == http_.server()) {
     clock_.configuration_reread(timers_.now());
   } else {
     clock_.service_switched(timers_.now());
   }
-  get_.set_server(at);
+  http_.set_server(service);
   version_.reset();
-  watching_ = true;
-  ++turn_;
-  ask();
+  polling_ = true;
+  ++service_generation_;
+  send_request();
 }
 
-// Without a pause after the last answer, so that it stays one watch.
-void Discovery::ask() {
-  // No two nodes wait equally long. Guards against watches that all fell silent, or were answered, in one
-  // moment and would all be renewed in one: a service that takes a call from each in some seconds answers
-  // late then.
-  std::uniform_int_distribution<std::int64_t> part(kWait / 2ms, kWait / 1ms);
-  // While a list is owed even one that holds nothing new has to come at once. Guards against a node that
-  // sends nothing for as long as nothing changes.
-  const bool at_once = !version_ || clock_.is_catching_up();
-  const std::chrono::milliseconds wait(at_once ? 0 : part(chance_));
+// Called without a pause after each response, so that long polls follow each other without a gap.
+void Discovery::send_request() {
+  // Every node draws its own wait. Otherwise long polls that were all answered or timed out at the same time
+  // would also be renewed at the same time, and a service that needs some seconds to accept a request from
+  // each node would respond late.
+  std::uniform_int_distribution<std::int64_t> random_wait(kMaxLongPollWait / 2ms, kMaxLongPollWait / 1ms);
+  // While catching up, the node needs an immediate response even if nothing has changed. With a long poll it
+  // would dial no host until the next change.
+  const bool immediate = !version_ || clock_.is_catching_up();
+  const std::chrono::milliseconds wait(immediate ? 0 : random_wait(rng_));
   clock_.request_sent(timers_.now(), wait);
   update_staleness();
-  log_line("list: asked for %s", version_ ? ("changes since " + std::to_string(*version_)).c_str() : "all");
-  const Micros slack = at_once ? kAnswerWithin : kWatchSlack;
-  if (!version_) return get_.get("/api/targets", 0s, slack);
-  get_.get("/api/targets?since=" + std::to_string(*version_) + "&timeout_ms=" + std::to_string(wait.count()),
-           wait, slack);
+  log_line("list: requested %s",
+           version_ ? ("changes since " + std::to_string(*version_)).c_str() : "the whole list");
+  const Micros slack = immediate ? kResponseTimeout : kLongPollSlack;
+  if (!version_) return http_.get("/api/targets", 0s, slack);
+  http_.get("/api/targets?since=" + std::to_string(*version_) + "&timeout_ms=" + std::to_string(wait.count()),
+            wait, slack);
 }
 
 void Discovery::update_staleness() {
   const Micros now = timers_.now();
   const Micros stale_from = clock_.stale_from();
-  if (stale_from > now) timers_.schedule(stale_from - now, *this, token(Due::stale));
+  if (stale_from > now) timers_.schedule(stale_from - now, *this, token(Timer::stale));
   const bool stale = stale_from <= now;
   if (stale == std::exchange(stale_, stale)) return;
   if (stale) {
-    log_line("list: stale, a change that was not heard may count as told");
-    told_.balancer_now().list_stale();
+    log_line("list: stale; a change that was not received may bind this node");
+    events_.balancer_now().list_stale();
   } else {
-    log_line("list: fresh");
-    told_.balancer_now().list_usable();
+    log_line("list: no longer stale");
+    events_.balancer_now().list_usable();
   }
 }
 
@@ -88,17 +89,18 @@
   simdjson::dom::element list;
   if (status != 200) {
     log_line("discovery: status %u", status);
-    return failed(Failure::error_response);
+    return request_failed(Failure::error_response);
   }
-  const auto known = version_;
-  if (parser_.parse(body).get(list) || !take(list)) {
-    log_line("discovery: an answer of %zu bytes is malformed or stale", body.size());
-    return failed(Failure::truncated);
+  const auto previous_version = version_;
+  if (parser_.parse(body).get(list) || !apply_list(list)) {
+    log_line("discovery: a response of %zu bytes is malformed or stale", body.size());
+    return request_failed(Failure::truncated);
   }
-  if (known != version_) log_line("list: taken version=%llu", static_cast<unsigned long long>(*version_));
+  if (previous_version != version_)
+    log_line("list: taken version=%llu", static_cast<unsigned long long>(*version_));
   clock_.list_received();
-  ask();
-  if (!std::exchange(spoken_, true)) told_.first_request_done();
+  send_request();
+  if (!std::exchange(first_request_done_, true)) events_.first_request_done();
 }
 
 void Discovery::http_failed(const char* why, RequestFailure how) {
@@ -106,97 +108,102 @@
   using Failure = StalenessClock::Failure;
   switch (how) {
     case RequestFailure::timeout:
-      return failed(Failure::timeout);
+      return request_failed(Failure::timeout);
     case RequestFailure::truncated:
-      return failed(Failure::truncated);
+      return request_failed(Failure::truncated);
     case RequestFailure::connection_closed:
-      return failed(Failure::connection_closed);
+      return request_failed(Failure::connection_closed);
     case RequestFailure::connection_refused:
-      return failed(Failure::connection_refused);
+      return request_failed(Failure::connection_refused);
   }
 }
 
-void Discovery::failed(StalenessClock::Failure how) {
+void Discovery::request_failed(StalenessClock::Failure how) {
   using Failure = StalenessClock::Failure;
   const bool first = !clock_.is_catching_up();
   clock_.request_failed(timers_.now(), how);
   update_staleness();
-  const Micros told_in = clock_.stale_from() - timers_.now();
-  log_line("list: not heard; may count as told in %lld ms",
-           static_cast<long long>(std::chrono::duration_cast<std::chrono::milliseconds>(told_in).count()));
-  // A watch that has fallen silent, or whose answer broke off, has kept something back: the whole list, and
-  // at once.
-  const bool kept_back = how == Failure::timeout || how == Failure::truncated;
-  if (kept_back && std::exchange(version_, std::nullopt) && first) return ask();
-  retry_later();
+  const Micros stale_in = clock_.stale_from() - timers_.now();
+  log_line("list: request failed; the list is stale in %lld ms",
+           static_cast<long long>(std::chrono::duration_cast<std::chrono::milliseconds>(stale_in).count()));
+  // A request that timed out or whose response was truncated may have withheld a change: requests the whole
+  // list, the first time without a pause.
+  const bool change_withheld = how == Failure::timeout || how == Failure::truncated;
+  if (change_withheld && std::exchange(version_, std::nullopt) && first) return send_request();
+  schedule_retry();
 }
 
-void Discovery::retry_later() {
-  if (agent_again_)
-    timers_.schedule(*agent_again_, *this, token(Due::again));
+void Discovery::schedule_retry() {
+  if (agent_retry_delay_)
+    timers_.schedule(*agent_retry_delay_, *this, token(Timer::agent_retry));
   else {
-    watching_ = false;
-    told_.balancer_now().list_failed();
-    // The module's pauses double. Guards against one that lasts until what came meanwhile counts as told. No
-    // two nodes ask in the same moment.
-    std::uniform_int_distribution<std::int64_t> sooner(0, StalenessClock::kAfterWait / 2us);
-    const Micros in = clock_.request_by() - timers_.now() - Micros{sooner(chance_)};
-    if (in > 0us) timers_.schedule(std::max(in, kShortestPause), *this, token(Due::in_time));
+    polling_ = false;
+    events_.balancer_now().list_failed();
+    // The balancer's retry delays double and may end after the list has become stale. This timer sends the
+    // request before that, at a random time so that nodes do not all send theirs at once.
+    std::uniform_int_distribution<std::int64_t> random_lead(0, StalenessClock::kLongPollDeadline / 2us);
+    const Micros delay = clock_.request_by() - timers_.now() - Micros{random_lead(rng_)};
+    if (delay > 0us) timers_.schedule(std::max(delay, kMinRetryDelay), *this, token(Timer::early_retry));
   }
-  if (!std::exchange(spoken_, true)) told_.first_request_done();
+  if (!std::exchange(first_request_done_, true)) events_.first_request_done();
 }
 
-void Discovery::timer_expired(std::uint64_t t) {
-  if (t == token(Due::again)) ask();
-  if (t == token(Due::in_time)) watch();
-  if (t == token(Due::stale)) update_staleness();
+void Discovery::timer_expired(std::uint64_t expired) {
+  if (expired == token(Timer::agent_retry)) send_request();
+  if (expired == token(Timer::early_retry)) poll();
+  if (expired == token(Timer::stale)) update_staleness();
 }
 
-template <class Entry>
-bool Discovery::each_target(const simdjson::dom::array& targets, Entry entry) const {
-  for (const simdjson::dom::element e : targets) {
-    simdjson::dom::object o;
+template <class Visit>
+bool Discovery::for_each_target(const simdjson::dom::array& targets, Visit visit) const {
+  for (const simdjson::dom::element element : targets) {
+    simdjson::dom::object target;
     std::string_view uid, address, zone, state;
-    if (e.get(o) || o["uid"].get(uid) || uid.empty() || o["state"].get(state)) return false;
-    const auto standing = standing_of(state);
-    if (!standing) return false;
-    std::optional<Address> at;
-    if (!o["endpoint"].get(address)) at = parse_address(address);
-    if (!at && standing != HostStatus::removed) return false;
-    std::size_t zone_no = zones_.size();
-    if (!o["az"].get(zone)) {
-      zone_no = static_cast<std::size_t>(std::find(zones_.begin(), zones_.end(), zone) - zones_.begin());
+    if (element.get(target) || target["uid"].get(uid) || uid.empty() || target["state"].get(state))
+      return false;
+    const auto status = parse_host_status(state);
+    if (!status) return false;
+    std::optional<Address> endpoint;
+    if (!target["endpoint"].get(address)) endpoint = parse_address(address);
+    if (!endpoint && status != HostStatus::removed) return false;
+    std::size_t zone_index = zones_.size();
+    if (!target["az"].get(zone)) {
+      zone_index = static_cast<std::size_t>(std::find(zones_.begin(), zones_.end(), zone) - zones_.begin());
     }
     std::uint64_t cell;
-    if (o["pod_group"].get(cell)) cell = 0;
+    if (target["pod_group"].get(cell)) cell = 0;
     double share, boot_ms;
-    if (o["capacity_hint"].get(share)) share = 1;
-    if (o["boot_ms"].get(boot_ms)) boot_ms = 0;
+    if (target["capacity_hint"].get(share)) share = 1;
+    if (target["boot_ms"].get(boot_ms)) boot_ms = 0;
     if (!(boot_ms >= 0 && boot_ms < 1e15)) return false;
-    entry(HostId{setup::hash_name(uid)}, uid, at.value_or(Address()),
-          ZoneId{static_cast<std::uint32_t>(zone_no)}, CellId{static_cast<std::uint32_t>(cell)}, *standing,
+    visit(HostId{setup::hash_name(uid)}, uid, endpoint.value_or(Address()),
+          ZoneId{static_cast<std::uint32_t>(zone_index)}, CellId{static_cast<std::uint32_t>(cell)}, *status,
           share, Micros{static_cast<std::int64_t>(boot_ms * 1000)});
   }
   return true;
 }
 
-bool Discovery::take(const simdjson::dom::element& list) {
-  simdjson::dom::object o;
+bool Discovery::apply_list(const simdjson::dom::element& list) {
+  simdjson::dom::object object;
   simdjson::dom::array targets;
   std::uint64_t version;
   bool whole;
-  if (list.get(o) || o["rev"].get(version) || o["all"].get(whole) || o["targets"].get(targets)) return false;
-  // Read through once before anything is told: half a list would take hosts for gone that are not.
-  if (!each_target(targets, [](auto&&...) {})) return false;
-  // Older than what is known, whole or not, or changes to a list that this service never gave. Only a whole
-  // list that was asked for as such may be older, as after the service's own restart.
+  if (list.get(object) || object["rev"].get(version) || object["all"].get(whole) ||
+      object["targets"].get(targets))
+    return false;
+  // Validates all targets before the balancer is told of any: with part of a list it would take hosts for
+  // removed that are not.
+  if (!for_each_target(targets, [](auto&&...) {})) return false;
+  // Rejects a list that is older than the known one, whether whole or not, and changes to a list that this
+  // service never sent. Only a whole list that was requested as such may be older, as after a restart of the
+  // service.
   if (version_ ? version < *version_ : !whole) return version_.reset(), false;
-  Balancer& balancer = told_.balancer_now();
+  Balancer& balancer = events_.balancer_now();
   balancer.begin_list(whole);
-  each_target(targets, [&](HostId id, std::string_view name, const Address& at, ZoneId zone, CellId cell,
-                           HostStatus standing, double share, Micros started) {
-    balancer.list_host(id, zone, cell, standing, share, started);
-    if (standing != HostStatus::removed) hosts_.update(id, name, at);
+  for_each_target(targets, [&](HostId id, std::string_view name, const Address& endpoint, ZoneId zone,
+                               CellId cell, HostStatus status, double share, Micros started) {
+    balancer.list_host(id, zone, cell, status, share, started);
+    if (status != HostStatus::removed) hosts_.update(id, name, endpoint);
   });
   balancer.end_list();
   version_ = version;
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -1,4 +1,5 @@
-// Follows the list of hosts: a watch that goes on from answer to answer, told to the module as it comes.
+// Keeps this node's copy of the host list up to date: long-polls the discovery service and passes each list
+// to the balancer.
 #pragma once
 
 #include <simdjson.h>
@@ -19,62 +20,70 @@
  public:
   class Events {
    public:
-    virtual Balancer& balancer_now() = 0;   // with the time said
-    virtual void first_request_done() = 0;  // the first call has been answered, or has failed
+    virtual Balancer& balancer_now() = 0;   // its time has been set
+    virtual void first_request_done() = 0;  // the first request has succeeded or failed
 
    protected:
     ~Events() = default;
   };
-  Discovery(Sockets& sockets, TimerQueue& timers, const Address& at, std::vector<std::string> zones,
-            HostTable& hosts, std::optional<Micros> agent_again, Micros outage, std::uint64_t seed,
-            Events& told)
-      : get_(sockets, timers, at, *this),
+  // `zones`: the names of all zones, in the order of their ids. `agent_retry_delay`: set if lists are pushed
+  // to a local agent, which is then polled. `outage_threshold`: see StalenessClock.
+  Discovery(Sockets& sockets, TimerQueue& timers, const Address& service, std::vector<std::string> zones,
+            HostTable& hosts, std::optional<Micros> agent_retry_delay, Micros outage_threshold,
+            std::uint64_t seed, Events& events)
+      : http_(sockets, timers, service, *this),
         zones_(std::move(zones)),
         hosts_(hosts),
-        agent_again_(agent_again),
-        chance_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> 32))),
+        agent_retry_delay_(agent_retry_delay),
+        rng_(static_cast<std::knuth_b::result_type>(seed ^ (seed >> 32))),
         timers_(timers),
-        told_(told),
-        clock_(outage) {}
+        events_(events),
+        clock_(outage_threshold) {}
 
-  // Takes a list in discovery's form; false, with nothing changed, where it is malformed.
-  bool take(const simdjson::dom::element& list);
-  // From now on this node sends by the list it has.
-  void begin() { clock_.started(timers_.now()); }
-  // `fresh`: a whole list first, whatever is known.
-  void watch(bool fresh = false);
-  // Asks there from now on, at once and for a whole list: its versions have nothing to do with those so far.
-  void switch_to(const Address& at);
+  // Applies a list in the service's JSON format. Returns false, without applying any of it, if the list is
+  // malformed or older than the known one; in the latter case the next request is for the whole list.
+  bool apply_list(const simdjson::dom::element& list);
+  // From now on this node uses the list it has.
+  void start() { clock_.started(timers_.now()); }
+  // Sends a request unless one is pending or an agent's retry is scheduled. `whole_list`: requests the whole
+  // list even if a version is known.
+  void poll(bool whole_list = false);
+  // Sends requests to another service, beginning now with one for the whole list, as the versions of the
+  // services are unrelated.
+  void switch_service(const Address& service);
 
  private:
-  enum class Due : std::uint64_t { again, in_time, stale };
-  std::uint64_t token(Due due) const { return turn_ << 2 | static_cast<std::uint64_t>(due); }
+  enum class Timer : std::uint64_t { agent_retry, early_retry, stale };
+  std::uint64_t token(Timer timer) const {
+    return service_generation_ << 2 | static_cast<std::uint64_t>(timer);
+  }
   void http_response(unsigned status, std::string& body) override;
   void http_failed(const char* why, RequestFailure how) override;
   void timer_expired(std::uint64_t token) override;
-  void ask();
-  void failed(StalenessClock::Failure how);
-  void retry_later();
-  // Tells the module when what this node has not heard begins to count as told, and when it no longer does.
+  void send_request();
+  void request_failed(StalenessClock::Failure how);
+  void schedule_retry();
+  // Tells the balancer when the copy of the list becomes stale and when it no longer is.
   void update_staleness();
-  // Calls entry(id, name, endpoint, zone, cell, standing, share, started) for each target; false: malformed.
-  template <class Entry>
-  bool each_target(const simdjson::dom::array& targets, Entry entry) const;
+  // Calls visit(id, name, endpoint, zone, cell, status, share, started) for each target. Returns false if one
+  // is malformed.
+  template <class Visit>
+  bool for_each_target(const simdjson::dom::array& targets, Visit visit) const;
 
-  HttpGet get_;
+  HttpGet http_;
   std::vector<std::string> zones_;
   HostTable& hosts_;
-  // Where lists are pushed, an agent at this node has them: it is asked again after so long, not the module's
-  // pause, as whatever it has counts as told.
-  std::optional<Micros> agent_again_;
-  std::knuth_b chance_;
+  // If lists are pushed to a local agent, failed requests are repeated after this delay instead of the
+  // balancer's, because all changes that the agent holds bind this node.
+  std::optional<Micros> agent_retry_delay_;
+  std::knuth_b rng_;
   TimerQueue& timers_;
-  Events& told_;
+  Events& events_;
   StalenessClock clock_;
   simdjson::dom::parser parser_;
-  std::optional<std::uint64_t> version_;  // of the list that changes are asked for; none: a whole one is
-  bool watching_ = false, spoken_ = false, stale_ = false;
-  std::uint64_t turn_ = 0;  // of the service asked
+  std::optional<std::uint64_t> version_;  // changes since this one are requested; if unset, the whole list
+  bool polling_ = false, first_request_done_ = false, stale_ = false;
+  std::uint64_t service_generation_ = 0;  // increases with each switch, which invalidates earlier timers
 };
 
 }  // namespace flintweir::node
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -12,18 +12,22 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kOwnDescriptors = 16;  // standard streams, the event queue, the acceptor
-constexpr std::size_t kIdleShare = 8;  // that part of the descriptors is for clients that ask for nothing
-constexpr Micros kFirstLine = 2s;      // a client that says nothing hears of it within 3 s
-constexpr Micros kFirstWord = 1s;      // for an agent at this node to give its list, before clients are taken
-// Until a node that was told to end may be killed: so long after the longest dial timeout. It ends a little
-// before.
-constexpr Micros kKilled = 700ms, kEndsBefore = 200ms;
-// The protocol holds a node to the list it has for so many times the settings' time for asking where its
-// calls fail.
+// For the standard streams, the event queue and the listening socket.
+constexpr std::size_t kReservedDescriptors = 16;
+// Clients that have sent no request may use one part in this many of the descriptors.
+constexpr std::size_t kIdleClientDivisor = 8;
+// A client that sends nothing has to get an answer within 3 s.
+constexpr Micros kFirstLineTimeout = 2s;
+// How long clients wait for the first list of a local agent.
+constexpr Micros kAgentWait = 1s;
+// After SIGTERM the process may be killed this long after the longest dial timeout. It exits the margin
+// earlier.
+constexpr Micros kKillDelay = 700ms, kShutdownMargin = 200ms;
+// By the protocol, a node whose requests fail stays bound by the list it has for this many poll intervals.
 constexpr int kOutageIntervals = 4;
-constexpr Micros kShortestOutage = 10s;
-constexpr int kAcceptsInARow = 8;  // so that those taken get their hosts before the next take the descriptors
+constexpr Micros kMinOutageThreshold = 10s;
+// Small, so that accepted clients get connections to hosts before more clients use up the descriptors.
+constexpr int kAcceptBatch = 8;
 
 std::vector<Micros> listener_times(const setup::JsonObject& settings, std::string_view key) {
   std::vector<Micros> times;
@@ -33,9 +37,9 @@
   return times;
 }
 
-Micros longest(const std::vector<Micros>& times) { return *std::max_element(times.begin(), times.end()); }
+Micros max_of(const std::vector<Micros>& times) { return *std::max_element(times.begin(), times.end()); }
 
-// What messages may take, where delays are the module's to know.
+// How long a message may take; zero unless the balancer may use message delays.
 Micros message_target(const setup::JsonObject& settings) {
   if (!settings.has("familyInfo")) return 0us;
   if (!setup::JsonObject(settings, "familyInfo").flag("tellsDelay")) return 0us;
@@ -51,150 +55,158 @@
   const std::vector<Micros> targets = listener_times(settings, "handshakeTarget");
   const Micros target = *std::min_element(targets.begin(), targets.end());
   return {setup::JsonObject(settings, "ceilings").time("connectTimeout", target / 4),
-          std::min(longest(listener_times(settings, "dialTimeout")), kFirstLine), target / 2,
+          std::min(max_of(listener_times(settings, "dialTimeout")), kFirstLineTimeout), target / 2,
           setup::read_max_retry_after(settings)};
 }
 
-bool pushed(const setup::JsonObject& settings) { return settings.text("discovery", "") == "pushed"; }
+bool list_is_pushed(const setup::JsonObject& settings) { return settings.text("discovery", "") == "pushed"; }
 
-// Whatever an agent has counts as told, watch or no watch: it is asked again well within the grace of a
-// drain.
-std::optional<Micros> agent_again(const setup::JsonObject& settings) {
-  if (!pushed(settings)) return std::nullopt;
+// All changes that a local agent holds bind this node, whether it has received them or not. So it polls the
+// agent again well within the grace period of a drain.
+std::optional<Micros> agent_retry_delay(const setup::JsonObject& settings) {
+  if (!list_is_pushed(settings)) return std::nullopt;
   return std::clamp<Micros>(setup::JsonObject(settings, "rules").time("drainGrace") / 4, 10ms, 1s);
 }
 
-// For how long calls for the list have to fail until they are taken for an outage.
+// How long requests for the list have to fail until an outage is assumed.
 Micros outage_threshold(const setup::JsonObject& settings) {
   return std::max<Micros>(kOutageIntervals * setup::JsonObject(settings, "rules").time("askEvery"),
-                          kShortestOutage);
+                          kMinOutageThreshold);
 }
 
-std::size_t socket_limit(const NodeConfig& file) {
-  if (file.sockets() < 4 * kOwnDescriptors) {
-    setup::throw_invalid_input("configuration: limits.sockets is under " +
-                               std::to_string(4 * kOwnDescriptors));
+std::size_t socket_limit(const NodeConfig& config) {
+  if (config.max_sockets() < 4 * kReservedDescriptors) {
+    setup::throw_invalid_input("configuration: limits.sockets is less than " +
+                               std::to_string(4 * kReservedDescriptors));
   }
-  return file.sockets() - kOwnDescriptors;
+  return config.max_sockets() - kReservedDescriptors;
 }
 
-// Half of the memory for sessions; each takes its place in the table and what the kernel keeps for two
+// Sessions may use half of the memory. Each needs its entry in the table and the kernel's memory for two
 // sockets.
-std::size_t most_sessions(const NodeConfig& file) {
-  constexpr std::size_t kEach = sizeof(ProxySession) + (64u << 10);
-  return std::max<std::size_t>((file.memory_mb() << 20) / 2 / kEach, 1);
+std::size_t max_sessions(const NodeConfig& config) {
+  constexpr std::size_t kBytesPerSession = sizeof(ProxySession) + (64u << 10);
+  return std::max<std::size_t>((config.memory_mb() << 20) / 2 / kBytesPerSession, 1);
 }
 
 }  // namespace
 
-Node::Node(Network& network, const NodeConfig& file, BalancerFactory make)
+Node::Node(Network& network, const NodeConfig& config, BalancerFactory make)
     : network_(network),
-      listen_(file.listen()),
-      sockets_(network, socket_limit(file)),
-      longest_dial_(longest(listener_times(file.settings(), "dialTimeout"))),
-      pushed_(pushed(file.settings())),
-      sessions_(sockets_, timers_, hosts_, timeouts(file.settings()), message_target(file.settings()),
-                open_line_parser(file.settings()), most_sessions(file), socket_limit(file) / kIdleShare,
-                *this),
-      discovery_(sockets_, timers_, file.discovery(), setup::read_names(file.settings(), "failureDomains"),
-                 hosts_, agent_again(file.settings()), outage_threshold(file.settings()), file.seed(), *this),
-      own_(setup::read_runtime_settings(file.settings())),
-      listener_names_(setup::read_names(file.settings(), "listeners")),
-      own_discovery_(file.discovery()),
-      discovery_at_(own_discovery_) {
-  sessions_.set_balancer(make(file.settings(), sessions_, file.seed()));
-  if (const auto known = file.known(); known && !discovery_.take(*known)) {
-    setup::throw_invalid_input("configuration: known is not a list of hosts");
+      listen_address_(config.listen_address()),
+      sockets_(network, socket_limit(config)),
+      max_dial_timeout_(max_of(listener_times(config.settings(), "dialTimeout"))),
+      list_is_pushed_(list_is_pushed(config.settings())),
+      sessions_(sockets_, timers_, hosts_, timeouts(config.settings()), message_target(config.settings()),
+                open_line_parser(config.settings()), max_sessions(config),
+                socket_limit(config) / kIdleClientDivisor, *this),
+      discovery_(sockets_, timers_, config.discovery_address(),
+                 setup::read_names(config.settings(), "failureDomains"), hosts_,
+                 agent_retry_delay(config.settings()), outage_threshold(config.settings()), config.seed(),
+                 *this),
+      base_settings_(setup::read_runtime_settings(config.settings())),
+      listener_names_(setup::read_names(config.settings(), "listeners")),
+      configured_discovery_(config.discovery_address()),
+      current_discovery_(configured_discovery_) {
+  sessions_.set_balancer(make(config.settings(), sessions_, config.seed()));
+  if (const auto list = config.known_list(); list && !discovery_.apply_list(*list)) {
+    setup::throw_invalid_input("configuration: known is not a valid host list");
   }
   sessions_.balancer_now();
 }
 
-void Node::join_fleet(const setup::OperatorFile& own, std::string name, std::string version,
+void Node::join_fleet(const setup::OperatorFile& operator_file, std::string name, std::string version,
                       std::uint64_t seed) {
   if (name.empty())
-    setup::throw_invalid_input("configuration: name is missing, which the operator's [fleet] needs");
+    setup::throw_invalid_input(
+        "configuration: name is missing; section [fleet] of the operator's file requires it");
   if (name.size() > members::kMaxNameBytes || !is_printable_token(name))
     setup::throw_invalid_input(
         "configuration: name '" + name +
-        "' is over 64 characters or not all printable ASCII without blanks and quotes");
-  peers_ = std::make_unique<FleetMember>(network_, timers_, *own.fleet, name, std::move(version), seed,
-                                         [this](unsigned nodes) { balancer_now().set_node_count(nodes); });
-  leases_ = own.leases;
-  if (leases_) peers_->enable_voting(*leases_);
-  changes_ = own.changes;
-  if (changes_) peers_->enable_changes(*changes_, [this](const changes::Change& c) { return take(c); });
-}
-
-std::string Node::take(const changes::Change& change) {
-  std::vector<std::string> wrong;
-  const auto text = setup::ConfigChange::parse(change.text, "change", wrong);
-  setup::RuntimeSettings running = setup::apply_change(own_, listener_names_, text, wrong);
-  if (!wrong.empty()) return wrong.front();
-  sessions_.balancer_now().update_settings(std::move(running.listeners), running.dials.max_dials,
-                                           running.prices);
-  changed_discovery_ = text.discovery;
-  follow(changed_discovery_.value_or(own_discovery_));
+        "' has to be at most 64 printable ASCII characters without spaces, quotes and backslashes");
+  fleet_member_ =
+      std::make_unique<FleetMember>(network_, timers_, *operator_file.fleet, name, std::move(version), seed,
+                                    [this](unsigned nodes) { balancer_now().set_node_count(nodes); });
+  leases_ = operator_file.leases;
+  if (leases_) fleet_member_->enable_voting(*leases_);
+  changes_ = operator_file.changes;
+  if (changes_)
+    fleet_member_->enable_changes(*changes_, [this](const changes::Change& c) { return apply_change(c); });
+}
+
+std::string Node::apply_change(const changes::Change& change) {
+  std::vector<std::string> errors;
+  const auto parsed = setup::ConfigChange::parse(change.text, "change", errors);
+  setup::RuntimeSettings settings = setup::apply_change(base_settings_, listener_names_, parsed, errors);
+  if (!errors.empty()) return errors.front();
+  sessions_.balancer_now().update_settings(std::move(settings.listeners), settings.dials.max_dials,
+                                           settings.prices);
+  discovery_from_change_ = parsed.discovery;
+  use_discovery(discovery_from_change_.value_or(configured_discovery_));
   return {};
 }
 
-// A change that names another service goes before the file.
-void Node::follow(const Address& at) {
-  if (at == std::exchange(discovery_at_, at)) return;
-  log_line("discovery at %s from now on", to_text(at).c_str());
-  discovery_.switch_to(at);
+// The discovery address in a change takes precedence over that in the file.
+void Node::use_discovery(const Address& service) {
+  if (service == std::exchange(current_discovery_, service)) return;
+  log_line("discovery: switched to %s", to_text(service).c_str());
+  discovery_.switch_service(service);
 }
 
 void Node::serve() {
-  const Address at = network_.listen(listen_);
-  if (peers_) peers_->start();
+  const Address at = network_.listen(listen_address_);
+  if (fleet_member_) fleet_member_->start();
   log_line("serving at %s", to_text(at).c_str());
-  discovery_.begin();
-  if (!pushed_) return open();
-  // What the agent has counts as told from the first moment on: clients wait until it is known.
-  discovery_.watch(true);
-  timers_.schedule(kFirstWord, *this, take_clients);
+  discovery_.start();
+  if (!list_is_pushed_) return start_accepting();
+  // The list that the agent holds binds this node from the start, so that clients wait until it is received.
+  discovery_.poll(true);
+  timers_.schedule(kAgentWait, *this, agent_wait_over);
 }
 
-void Node::open() {
-  if (!std::exchange(open_, true)) network_.wait_accept(*this);
+void Node::start_accepting() {
+  if (!std::exchange(accepting_, true)) network_.wait_accept(*this);
 }
 
-void Node::reload(const std::function<Files()>& read) {
+void Node::reload(const std::function<ConfigFiles()>& read) {
   try {
-    const auto [file, own] = read();
+    const auto [config, operator_file] = read();
     NullNetwork null_network;
-    const Node as_at_a_start(null_network, *file);
-    const Address at = file->discovery_of_file();
-    own_discovery_ = at;
-    if (changed_discovery_)
-      log_line("reload: discovery stays at %s, as a change says", to_text(discovery_at_).c_str());
+    const Node validates_config(null_network, *config);
+    const Address service = config->discovery_address_in_file();
+    configured_discovery_ = service;
+    if (discovery_from_change_)
+      log_line("reload: discovery remains at %s, as set by a configuration change",
+               to_text(current_discovery_).c_str());
     else {
-      log_line("reload: discovery at %s", to_text(at).c_str());
-      discovery_at_ = at;
-      discovery_.switch_to(at);
+      log_line("reload: discovery at %s", to_text(service).c_str());
+      current_discovery_ = service;
+      discovery_.switch_service(service);
     }
-    if (own.fleet.has_value() != (peers_ != nullptr))
-      log_line("reload: fleet: holds until the next start");
-    else if (peers_)
-      peers_->reload(*own.fleet);
-    if (own.changes != changes_) log_line("reload: changes: holds until the next start");
-    if (own.leases != leases_) log_line("reload: leases: holds until the next start");
+    if (operator_file.fleet.has_value() != (fleet_member_ != nullptr))
+      log_line("reload: fleet: the new section takes effect at the next start");
+    else if (fleet_member_)
+      fleet_member_->reload(*operator_file.fleet);
+    if (operator_file.changes != changes_)
+      log_line("reload: changes: the new section takes effect at the next start");
+    if (operator_file.leases != leases_)
+      log_line("reload: leases: the new section takes effect at the next start");
   } catch (const std::exception& e) {
     log_line("reload: %s; nothing is changed", e.what());
   }
 }
 
-bool Node::accept() {
-  for (int i = 0; i < kAcceptsInARow; ++i) {
-    const bool room = sockets_.has_room(1) || sessions_.evict_idle_client();
+bool Node::accept_clients() {
+  for (int i = 0; i < kAcceptBatch; ++i) {
+    const bool has_descriptor = sockets_.has_room(1) || sessions_.evict_idle_client();
     const AcceptResult next =
-        room ? network_.accept() : AcceptResult{{}, IoStatus::failed, "too many open sockets"};
+        has_descriptor ? network_.accept() : AcceptResult{{}, IoStatus::failed, "too many open sockets"};
     if (next.status == IoStatus::would_block) return network_.wait_accept(*this), false;
     if (next.status == IoStatus::closed) continue;
     if (next.status == IoStatus::failed) {
-      // Those that wait are taken as soon as others have gone.
+      // Pending connections are accepted when descriptors are free again.
       log_line("accept: %s", next.error);
-      return timers_.schedule(10ms, *this, accept_again), false;
+      return timers_.schedule(10ms, *this, retry_accept), false;
     }
     sessions_.add_client(next.socket);
   }
@@ -202,25 +214,25 @@
   return true;
 }
 
-void Node::timer_expired(std::uint64_t due) {
-  if (due == take_clients) return open();
-  if (due == accept_again) return void(accept());
-  // Guards against clients left without an answer that connection_waits while this node had no time for them.
-  while (accept()) continue;
+void Node::timer_expired(std::uint64_t timer) {
+  if (timer == agent_wait_over) return start_accepting();
+  if (timer == retry_accept) return void(accept_clients());
+  // Connections that are still pending because the node was busy have to be answered, too.
+  while (accept_clients()) continue;
   log_line("left clients_gone=%llu dials_not_begun=%llu",
            static_cast<unsigned long long>(sessions_.clients_gone()),
            static_cast<unsigned long long>(sessions_.dials_not_begun()));
   network_.stop();
 }
 
-// They are moved over half the longest dial timeout; those that still come are answered until the end.
+// Spreads the moves over half of the longest dial timeout; answers new clients until the end.
 void Node::shut_down() {
-  if (std::exchange(leaving_, true)) return;
-  open();
+  if (std::exchange(shutting_down_, true)) return;
+  start_accepting();
   log_line("leaving: moving all sessions");
-  if (peers_) peers_->leave();
-  sessions_.shut_down(longest_dial_ / 2);
-  timers_.schedule(longest_dial_ + kKilled - kEndsBefore, *this, left);
+  if (fleet_member_) fleet_member_->leave();
+  sessions_.shut_down(max_dial_timeout_ / 2);
+  timers_.schedule(max_dial_timeout_ + kKillDelay - kShutdownMargin, *this, shutdown_over);
 }
 
 }  // namespace flintweir::node
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,5 @@
-// One node: its parts put together, the acceptor for clients, and the graceful shutdown.
+// A node: creates and connects its components, accepts clients, applies configuration changes and shuts down
+// gracefully.
 #pragma once
 
 #include <functional>
@@ -16,53 +17,57 @@
 using namespace line;
 
 using BalancerFactory = std::function<std::unique_ptr<Balancer>(
-    const setup::JsonObject& settings, BalancerDelegate& outlet, std::uint64_t seed)>;
+    const setup::JsonObject& settings, BalancerDelegate& delegate, std::uint64_t seed)>;
 
 class Node final : Sessions::Events, Discovery::Events, TimerEvents, AcceptEvents {
  public:
-  // Reads all of the file and makes the parts, but serves nobody. Throws setup::InvalidInput.
-  Node(Network& network, const NodeConfig& file, BalancerFactory make = setup::create_balancer);
-  // Will speak to the other nodes of the fleet from serve() on. Throws setup::InvalidInput.
-  void join_fleet(const setup::OperatorFile& own, std::string name, std::string version, std::uint64_t seed);
-  // From now on takes clients, on the network's loop. Throws std::system_error where it can't listen.
+  // Reads the whole configuration and creates the components, but opens no socket. `config` need not outlive
+  // the constructor. Throws setup::InvalidInput.
+  Node(Network& network, const NodeConfig& config, BalancerFactory make = setup::create_balancer);
+  // Makes the node a member of the fleet from serve() on. Throws setup::InvalidInput.
+  void join_fleet(const setup::OperatorFile& operator_file, std::string name, std::string version,
+                  std::uint64_t seed);
+  // Accepts clients from now on, in the network's event loop. Throws std::system_error if the address cannot
+  // be listened on.
   void serve();
-  // Takes the new address of discovery and the fleet's new seeds; all else holds until the next start. What
-  // `read` throws, and files that could not be started with, change nothing.
-  using Files = std::pair<std::unique_ptr<NodeConfig>, setup::OperatorFile>;
-  void reload(const std::function<Files()>& read);
-  // Moves all clients, answers those that still come, then stops the network.
+  using ConfigFiles = std::pair<std::unique_ptr<NodeConfig>, setup::OperatorFile>;
+  // Applies a new discovery address and new seeds of the fleet; all other changes take effect at the next
+  // start. If `read` throws, or a node could not start with these files, nothing changes.
+  void reload(const std::function<ConfigFiles()>& read);
+  // Moves all sessions, answers clients that still connect, then stops the network.
   void shut_down();
 
  private:
-  enum Due : std::uint64_t { accept_again, take_clients, left };
-  void watch_host_list() override { discovery_.watch(); }
+  enum Timer : std::uint64_t { retry_accept, agent_wait_over, shutdown_over };
+  void watch_host_list() override { discovery_.poll(); }
   Balancer& balancer_now() override { return sessions_.balancer_now(); }
-  void timer_expired(std::uint64_t due) override;
-  void connection_pending() override { accept(); }
-  void first_request_done() override { open(); }
-  // A change whole, or nothing of it and why not.
-  std::string take(const changes::Change& change);
-  void follow(const Address& at);
-  void open();    // from now on clients are taken
-  bool accept();  // false: nobody waits any more
+  void timer_expired(std::uint64_t timer) override;
+  void connection_pending() override { accept_clients(); }
+  void first_request_done() override { start_accepting(); }
+  // Applies the whole change and returns an empty text, or applies nothing and returns the reason.
+  std::string apply_change(const changes::Change& change);
+  void use_discovery(const Address& service);
+  void start_accepting();
+  // Accepts a batch of pending connections. Returns false if none is left or accepting failed.
+  bool accept_clients();
 
   Network& network_;
-  Address listen_;
+  Address listen_address_;
   Sockets sockets_;
   TimerQueue timers_{network_};
   HostTable hosts_;
-  Micros longest_dial_;
-  bool pushed_, open_ = false, leaving_ = false;  // pushed: an agent at this node has the list
+  Micros max_dial_timeout_;
+  bool list_is_pushed_;  // to an agent on this machine, which this node polls
+  bool accepting_ = false, shutting_down_ = false;
   Sessions sessions_;
   Discovery discovery_;
-  std::unique_ptr<FleetMember> peers_;
-  std::optional<setup::LeasesSection> leases_;  // none without the operator's word
+  std::unique_ptr<FleetMember> fleet_member_;  // null unless the operator's file has a fleet
+  std::optional<setup::LeasesSection> leases_;
   std::optional<setup::ChangesSection> changes_;
-  // As the file has it at the start; changes are laid over that.
-  setup::RuntimeSettings own_;
+  setup::RuntimeSettings base_settings_;  // of the file at the start; each change is applied on top of these
   std::vector<std::string> listener_names_;
-  Address own_discovery_, discovery_at_;
-  std::optional<Address> changed_discovery_;
+  Address configured_discovery_, current_discovery_;
+  std::optional<Address> discovery_from_change_;
 };
 
 }  // namespace flintweir::node
--- a/src/node/node_config.h
+++ b/src/node/node_config.h
@@ -1,4 +1,4 @@
-// What a node is told at its start: the file that EDGE_CONFIG names, with the variables beside it.
+// The configuration of a node: a JSON file, parts of which environment variables override at the start.
 #pragma once
 
 #include <simdjson.h>
@@ -11,33 +11,36 @@
 
 namespace flintweir::node {
 
-// Reads the file, and keeps it: settings and the known list are looked at in place.
+// Owns the parsed file; settings() and known_list() return views into it. All accessors throw
+// setup::InvalidInput if a value is malformed or a required one is missing.
 class NodeConfig {
  public:
-  // An address given here goes before the file's; empty: none is. Throws setup::InvalidInput.
+  // `listen` and `discovery` override the addresses in the file unless empty. Throws setup::InvalidInput.
   explicit NodeConfig(const std::string& path, std::string listen = "", std::string discovery = "");
-  // The same of a file's text.
+  // Parses the text of a file. Throws setup::InvalidInput.
   static std::unique_ptr<NodeConfig> from_text(std::string_view text) {
     return std::unique_ptr<NodeConfig>(new NodeConfig(text));
   }
-  NodeConfig(const NodeConfig&) = delete;  // what is kept points into it
-  std::string name() const { return std::string(whole_.text("name", "")); }
-  Address listen() const { return address("listen", listen_); }
-  Address discovery() const { return address("discovery", discovery_); }
-  Address discovery_of_file() const { return address("discovery", ""); }  // whatever was given
+  NodeConfig(const NodeConfig&) = delete;  // the JSON elements refer to parser_
+  std::string name() const { return std::string(root_.text("name", "")); }
+  Address listen_address() const { return address("listen", listen_); }
+  Address discovery_address() const { return address("discovery", discovery_); }
+  // The address in the file, even if it is overridden.
+  Address discovery_address_in_file() const { return address("discovery", ""); }
   std::uint64_t seed() const;
-  std::size_t sockets() const;
-  std::size_t memory_mb() const;
-  setup::JsonObject settings() const { return {whole_.required("settings"), "settings"}; }
-  std::optional<simdjson::dom::element> known() const;
+  std::size_t max_sockets() const;
+  std::size_t memory_mb() const;  // MiB
+  setup::JsonObject settings() const { return {root_.required("settings"), "settings"}; }
+  // The host list to start with, if the file has one.
+  std::optional<simdjson::dom::element> known_list() const;
 
  private:
   explicit NodeConfig(std::string_view text);
-  Address address(const char* key, const std::string& given) const;
+  Address address(const char* key, const std::string& override_text) const;
 
-  std::string listen_, discovery_;
+  std::string listen_, discovery_;  // overrides
   simdjson::dom::parser parser_;
-  setup::JsonObject whole_;
+  setup::JsonObject root_;
 };
 
 }  // namespace flintweir::node
--- a/src/node/staleness_clock.cpp
+++ b/src/node/staleness_clock.cpp
@@ -6,100 +6,107 @@
 namespace flintweir::node {
 namespace {
 
-// A service found down twice within so long was down in between. Guards against one that is back between two
-// requests, with a change that did not reach this node.
-constexpr Micros kContinuousOutage = StalenessClock::kAfterWait;
-// A request that fails within so long may have been queued all the while, so that no change could be
-// reported.
-constexpr Micros kLongestQueueing = StalenessClock::kAfterChange - StalenessClock::kAfterWait;
+// Two requests at most this far apart that both found the service down prove that it was down in between. If
+// they are farther apart, the service may have been up between them, with a change that did not reach this
+// node.
+constexpr Micros kContinuousOutage = StalenessClock::kLongPollDeadline;
+// A request that fails within this time may have been queued at the service all along, so that no change
+// could be reported on it.
+constexpr Micros kMaxQueueTime = StalenessClock::kChangeDeadline - StalenessClock::kLongPollDeadline;
 
 }  // namespace
 
 void StalenessClock::request_sent(Micros now, Micros wait) {
   requested_at_ = now;
-  pending_from_ = now + std::max(kAfterChange, wait + kAfterWait);
+  pending_deadline_ = now + std::max(kChangeDeadline, wait + kLongPollDeadline);
 }
 
 void StalenessClock::list_received() {
-  started_at_ = pending_from_ = unsettled_from_ = failing_from_ = connection_closed_at_ = outage_proven_at_ =
-      kNever;
+  started_at_ = pending_deadline_ = persistent_deadline_ = failure_deadline_ = connection_closed_at_ =
+      outage_proven_at_ = kNever;
   outage_assumed_ = false;
 }
 
 void StalenessClock::request_failed(Micros now, Failure how) {
-  const Micros pending_from = std::exchange(pending_from_, kNever);
+  const Micros pending_deadline = std::exchange(pending_deadline_, kNever);
   failed_at_ = now;
-  if (now - requested_at_ > kLongestQueueing)
-    started_at_ = kNever;  // it was a long poll, and would have reported changes
+  if (now - requested_at_ > kMaxQueueTime)
+    started_at_ = kNever;  // the service was processing this long poll and would have reported changes
   switch (how) {
     case Failure::timeout:
-      unsettled_from_ = std::min(unsettled_from_, pending_from);
+      persistent_deadline_ = std::min(persistent_deadline_, pending_deadline);
       return service_was_reachable();
     case Failure::truncated:
-      // Its first byte came at most so long ago as the rest of a response may take.
-      unsettled_from_ =
-          std::min({unsettled_from_, now + kAfterChange - kAfterWait, unheard_since(now) + kAfterChange});
+      // Its first byte arrived no longer ago than the rest of a response may take.
+      persistent_deadline_ = std::min({persistent_deadline_, now + kChangeDeadline - kLongPollDeadline,
+                                       unreported_since(now) + kChangeDeadline});
       return service_was_reachable();
     case Failure::error_response:
     case Failure::connection_closed:
     case Failure::connection_refused:
       break;
   }
-  if (failing_from_ != kNever && unsettled_from_ == kNever && now >= failing_from_ + outage_threshold_)
+  if (failure_deadline_ != kNever && persistent_deadline_ == kNever &&
+      now >= failure_deadline_ + outage_threshold_)
     outage_assumed_ = true;
   if (outage_assumed_) {
-    failing_from_ = connection_closed_at_ = kNever;
-    outage_proven_at_ = requested_at_;  // it may have come back while the request was held
+    failure_deadline_ = connection_closed_at_ = kNever;
+    outage_proven_at_ = requested_at_;  // the service may have come back since the request was sent
     return;
   }
-  how == Failure::connection_refused ? service_down(now) : rejected(now, how);
+  how == Failure::connection_refused ? service_down(now) : request_rejected(now, how);
 }
 
-void StalenessClock::rejected(Micros now, Failure how) {
-  const bool is_first = failing_from_ == kNever && outage_proven_at_ == kNever;
+// The service answered with an error or closed the connection: it may have been up.
+void StalenessClock::request_rejected(Micros now, Failure how) {
+  const bool is_first = failure_deadline_ == kNever && outage_proven_at_ == kNever;
   service_was_reachable();
-  failing_from_ = std::min(failing_from_, unheard_since(now) + kAfterChange);
+  failure_deadline_ = std::min(failure_deadline_, unreported_since(now) + kChangeDeadline);
   if (is_first && how == Failure::connection_closed) connection_closed_at_ = now;
 }
 
 void StalenessClock::service_down(Micros now) {
-  // The connection was closed because the service went down.
+  // The connection was closed because the service went down: the outage explains that failure.
   if (connection_closed_at_ != kNever && now - connection_closed_at_ <= kContinuousOutage)
-    failing_from_ = kNever;
+    failure_deadline_ = kNever;
   if (outage_proven_at_ != kNever && now - outage_proven_at_ > kContinuousOutage) service_was_reachable();
   connection_closed_at_ = kNever;
   outage_proven_at_ = now;
 }
 
-// Since an unknown moment after it was last down: a change may have been there right after that.
+// The service came back at an unknown time after it was last known to be down. A change may have been
+// available immediately after that.
 void StalenessClock::service_was_reachable() {
-  failing_from_ = std::min(failing_from_, stale_from_outage());
+  failure_deadline_ = std::min(failure_deadline_, outage_deadline());
   outage_proven_at_ = connection_closed_at_ = kNever;
   outage_assumed_ = false;
 }
 
 void StalenessClock::service_switched(Micros now) {
-  if (pending_from_ != kNever)
-    unsettled_from_ = std::min({unsettled_from_, pending_from_, unheard_since(now) + kAfterChange});
-  unsettled_from_ = std::min({unsettled_from_, failing_from_, stale_from_outage(), now + kAfterSwitch});
-  pending_from_ = failing_from_ = connection_closed_at_ = outage_proven_at_ = kNever;
+  if (pending_deadline_ != kNever)
+    persistent_deadline_ =
+        std::min({persistent_deadline_, pending_deadline_, unreported_since(now) + kChangeDeadline});
+  persistent_deadline_ =
+      std::min({persistent_deadline_, failure_deadline_, outage_deadline(), now + kSwitchDeadline});
+  pending_deadline_ = failure_deadline_ = connection_closed_at_ = outage_proven_at_ = kNever;
   outage_assumed_ = false;
 }
 
-// As after a switch, but what is known of this service's being down still holds. Guards against a
-// configuration that changes something else, and ends service since discovery happens to be down.
+// As after a switch, except that a known outage of this service stays known. Otherwise a configuration that
+// changes something else would stop the node from serving just because discovery happens to be down.
 void StalenessClock::configuration_reread(Micros now) {
-  if (pending_from_ != kNever) request_failed(now, Failure::connection_closed);
-  if (outage_proven_at_ == kNever) failing_from_ = std::min(failing_from_, now + kAfterSwitch);
+  if (pending_deadline_ != kNever) request_failed(now, Failure::connection_closed);
+  if (outage_proven_at_ == kNever) failure_deadline_ = std::min(failure_deadline_, now + kSwitchDeadline);
 }
 
 Micros StalenessClock::stale_from() const {
-  return std::min({pending_from_, unsettled_from_, failing_from_, stale_from_outage()});
+  return std::min({pending_deadline_, persistent_deadline_, failure_deadline_, outage_deadline()});
 }
 
 Micros StalenessClock::request_by() const {
   if (stale_from() == kNever) return kNever;
-  const Micros in_time = stale_from() - kAfterWait - kAfterWait / 4;  // for a whole answer to be here before
+  // Leaves time to receive a whole response before the deadline.
+  const Micros in_time = stale_from() - kLongPollDeadline - kLongPollDeadline / 4;
   const bool is_urgent = is_catching_up() && (outage_proven_at_ != kNever || stale_from() <= failed_at_);
   if (!is_urgent) return in_time;
   return in_time > failed_at_ ? std::min(in_time, failed_at_ + kContinuousOutage)
@@ -107,18 +114,18 @@
 }
 
 bool StalenessClock::is_catching_up() const {
-  return unsettled_from_ != kNever || failing_from_ != kNever || outage_proven_at_ != kNever;
+  return persistent_deadline_ != kNever || failure_deadline_ != kNever || outage_proven_at_ != kNever;
 }
 
-// From when on a request that fails now may have left changes unreported.
-Micros StalenessClock::unheard_since(Micros now) const {
-  if (now - requested_at_ > kLongestQueueing) return now;
+// From when on changes may be unreported if the current request fails at `now`.
+Micros StalenessClock::unreported_since(Micros now) const {
+  if (now - requested_at_ > kMaxQueueTime) return now;
   return std::min(started_at_, requested_at_);
 }
 
-// A change is available at the earliest right after the service was last known to be down.
-Micros StalenessClock::stale_from_outage() const {
-  return outage_proven_at_ == kNever ? kNever : outage_proven_at_ + kAfterChange;
+// The earliest possible change was available immediately after the service was last known to be down.
+Micros StalenessClock::outage_deadline() const {
+  return outage_proven_at_ == kNever ? kNever : outage_proven_at_ + kChangeDeadline;
 }
 
 }  // namespace flintweir::node
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -132,21 +132,25 @@
 flintweir_flaw(drained-while-connecting crossings drain src/line/proxy_session.cpp
   "inherited_ || sessions_.balancer_now().may_dial(at_)" "true")
 flintweir_flaw(silent-watch-kept crossings drain src/node/discovery.cpp
-  "kWatchSlack = StalenessClock::kAfterWait / 4;" "kWatchSlack = 100 * StalenessClock::kAfterWait;"
-  "told_.balancer_now().list_stale()" "void()")
+  "kLongPollSlack = StalenessClock::kLongPollDeadline / 4;"
+  "kLongPollSlack = 100 * StalenessClock::kLongPollDeadline;"
+  "events_.balancer_now().list_stale()" "void()")
 flintweir_flaw(failures-put-off-the-list crossings drain src/node/staleness_clock.cpp
-  "failing_from_ = std::min(failing_from_, unheard_since(now) + kAfterChange);" "failing_from_ = now + kAfterChange;")
+  "failure_deadline_ = std::min(failure_deadline_, unreported_since(now) + kChangeDeadline);"
+  "failure_deadline_ = now + kChangeDeadline;")
 flintweir_flaw(turn-not-counted crossings drain src/node/discovery.cpp
   "  clock_.service_switched(timers_.now());" "")
 flintweir_flaw(outage-believed-at-once list_outages drain src/node/staleness_clock.cpp
-  "unsettled_from_ == kNever && now >= failing_from_ + outage_threshold_" "true")
+  "persistent_deadline_ == kNever &&
+      now >= failure_deadline_ + outage_threshold_" "true")
 flintweir_flaw(queue-taken-for-a-watch list_outages drain src/node/staleness_clock.cpp
   "  return std::min(started_at_, requested_at_);" "  return now;")
 flintweir_flaw(stale-list-used list_outages drain src/balance.cpp
   "    list_stale_ = true;" "    list_stale_ = now_ < kRebalanceInterval;")
 flintweir_flaw(answer-lost-at-stop crossings answer src/node/node.cpp
-  "  while (accept()) continue;" ""
-  "timers_.schedule(longest_dial_ + kKilled - kEndsBefore, *this, left)" "timers_.schedule(Micros{0}, *this, left)")
+  "  while (accept_clients()) continue;" ""
+  "timers_.schedule(max_dial_timeout_ + kKillDelay - kShutdownMargin, *this, shutdown_over)"
+  "timers_.schedule(Micros{0}, *this, shutdown_over)")
 flintweir_flaw(move-within-a-line crossings ended src/line/relay.cpp
   "if (moving_ && between_lines_)" "if (moving_)"
   "host_->at_eof() ? bytes.buffered().size() : seen_" "bytes.buffered().size()")
--- a/tests/staleness_clock_test.cpp
+++ b/tests/staleness_clock_test.cpp
@@ -1,5 +1,5 @@
-// When what a node has not heard of the list counts as told: each figure by itself, and any order of troubles
-// against a service whose state is known.
+// The staleness clock: each deadline of the discovery protocol by itself, and random sequences of failures
+// compared with a simulated discovery service whose state is known at all times.
 #include "node/staleness_clock.h"
 
 #include <gtest/gtest.h>
@@ -17,14 +17,14 @@
 using Failure = StalenessClock::Failure;
 
 constexpr Micros kNever = StalenessClock::kNever;
-constexpr Micros kOutage = 10s;
+constexpr Micros kOutageThreshold = 10s;
 
-// Each of the protocol's figures from both sides.
-TEST(StalenessClock, CountsWhatACallThatIsOutMayKeepBack) {
-  StalenessClock clock(kOutage);
+// Tests each deadline at its limit and just beyond it.
+TEST(StalenessClock, SetsADeadlineForAPendingRequest) {
+  StalenessClock clock(kOutageThreshold);
   EXPECT_EQ(clock.stale_from(), kNever);
   EXPECT_EQ(clock.request_by(), kNever);
-  clock.request_sent(100s, 20s);  // may have fallen silent at once
+  clock.request_sent(100s, 20s);  // the service may have stopped responding immediately
   EXPECT_EQ(clock.stale_from(), 122s);
   EXPECT_FALSE(clock.is_catching_up());
   clock.list_received();
@@ -37,15 +37,15 @@
   EXPECT_EQ(clock.stale_from(), 106s);
 }
 
-// However often the service fails after the first time, and by whatever pauses.
-TEST(StalenessClock, CountsFromTheFirstFailureOn) {
+// Later failures, however many and at whatever intervals, do not extend the deadline of the first.
+TEST(StalenessClock, CountsFromTheFirstFailure) {
   for (const Failure how : {Failure::error_response, Failure::connection_closed}) {
-    StalenessClock clock(kOutage);
+    StalenessClock clock(kOutageThreshold);
     clock.request_sent(90s, 20s);
     clock.request_failed(101s, how);
     EXPECT_TRUE(clock.is_catching_up());
     EXPECT_EQ(clock.stale_from(), 107s);
-    EXPECT_EQ(clock.request_by(), 104s + 500ms);  // in time for a whole answer, as long as one may take
+    EXPECT_EQ(clock.request_by(), 104s + 500ms);  // leaves the longest time that a response may take
     for (const Micros at : {102s, 104s, 106s}) {
       clock.request_sent(at, 0s);
       EXPECT_EQ(clock.stale_from(), 107s);
@@ -53,12 +53,12 @@
       EXPECT_EQ(clock.stale_from(), 107s);
     }
     clock.request_sent(108s, 0s);
-    clock.request_failed(108s, Failure::connection_refused);  // what it had at 101 s it had
+    clock.request_failed(108s, Failure::connection_refused);  // a change available at 101 s stays available
     EXPECT_EQ(clock.stale_from(), 107s);
     clock.list_received();
     EXPECT_EQ(clock.stale_from(), kNever);
     EXPECT_FALSE(clock.is_catching_up());
-    // A call may have waited for its turn until it failed.
+    // The request may have been queued at the service until it failed.
     for (const Micros took : {Micros{4s}, 4s + 1us}) {
       clock.request_sent(200s, 20s);
       clock.request_failed(200s + took, how);
@@ -68,10 +68,11 @@
   }
 }
 
-// Guards against a node that starts from an old list and whose first call comes late, by chance, and fails.
+// Guards against a node that starts with an old list and counts from its first request, which may be sent
+// late and fail, instead of from its start.
 TEST(StalenessClock, CountsFromTheStartUntilTheFirstList) {
   for (const Failure how : {Failure::error_response, Failure::connection_closed, Failure::truncated}) {
-    StalenessClock clock(kOutage);
+    StalenessClock clock(kOutageThreshold);
     clock.started(100s);
     EXPECT_EQ(clock.stale_from(), kNever);
     clock.request_sent(103s, 20s);
@@ -82,34 +83,34 @@
     clock.request_sent(110s, 20s);
     clock.request_failed(120s, how);
     EXPECT_GE(clock.stale_from(), 124s);
-    // A watch that lasts would have told, as an answer does.
-    StalenessClock watching(kOutage);
-    watching.started(100s);
-    watching.request_sent(103s, 20s);
-    watching.request_failed(110s, how);
-    watching.request_sent(111s, 0s);
-    watching.request_failed(112s, how);
-    EXPECT_GE(watching.stale_from(), 114s);
+    // A long poll that the service held would have reported changes, as a response does.
+    StalenessClock long_polling(kOutageThreshold);
+    long_polling.started(100s);
+    long_polling.request_sent(103s, 20s);
+    long_polling.request_failed(110s, how);
+    long_polling.request_sent(111s, 0s);
+    long_polling.request_failed(112s, how);
+    EXPECT_GE(long_polling.stale_from(), 114s);
   }
 }
 
-TEST(StalenessClock, CountsFromTheReturnOfAServiceThatNobodyCanReach) {
-  StalenessClock clock(kOutage);
+TEST(StalenessClock, CountsFromTheReturnOfAnUnreachableService) {
+  StalenessClock clock(kOutageThreshold);
   const auto unreachable = [&](Micros at) {
     clock.request_sent(at, 0s);
     clock.request_failed(at, Failure::connection_refused);
   };
   unreachable(200s);
   EXPECT_EQ(clock.stale_from(), 206s);
-  EXPECT_EQ(clock.request_by(), 202s);  // so that it is known not to have been back in between
+  EXPECT_EQ(clock.request_by(), 202s);  // soon enough to prove that it was down in between
   unreachable(202s);
   EXPECT_EQ(clock.stale_from(), 208s);
-  unreachable(204s + 1us);  // it may have been
+  unreachable(204s + 1us);  // too late to prove it: the service may have been up
   EXPECT_EQ(clock.stale_from(), 208s);
   unreachable(205s);
   EXPECT_EQ(clock.stale_from(), 208s);
   clock.list_received();
-  // Back since a while that nobody knows.
+  // The service came back at an unknown time.
   unreachable(300s);
   clock.request_sent(301s, 0s);
   clock.request_failed(301s, Failure::error_response);
@@ -117,7 +118,7 @@
   unreachable(302s);
   EXPECT_EQ(clock.stale_from(), 306s);
   clock.list_received();
-  // A connection that ends just before went down with the service; one that ends earlier did not.
+  // A connection closed at most 2 s before the outage is taken to have been closed by it; an earlier one not.
   for (const Micros before : {Micros{2s}, 2s + 1us}) {
     clock.request_sent(390s, 20s);
     clock.request_failed(400s - before, Failure::connection_closed);
@@ -125,16 +126,16 @@
     EXPECT_EQ(clock.stale_from(), before == 2s ? 406s : 406s - before);
     clock.list_received();
   }
-  // An answer shows that it was there.
+  // An error response shows that the service was up.
   clock.request_failed(499s, Failure::error_response);
   unreachable(500s);
   EXPECT_EQ(clock.stale_from(), 505s);
 }
 
-// Guards against what issue 49 shows: a later failure that puts off what a call kept back, or what the new
-// service has.
-TEST(StalenessClock, KeepsWhatOnlyAListSettles) {
-  StalenessClock clock(kOutage);
+// Guards against issue 49: a later failure extended the deadline of a change that a request had withheld, or
+// that the new service had.
+TEST(StalenessClock, KeepsDeadlinesThatOnlyAListRemoves) {
+  StalenessClock clock(kOutageThreshold);
   clock.request_sent(100s, 10s);
   clock.request_failed(111s, Failure::timeout);
   clock.request_sent(111s, 20s);
@@ -147,7 +148,7 @@
   }
   clock.list_received();
   EXPECT_EQ(clock.stale_from(), kNever);
-  // Another service is asked: what it has counts sooner than its first silence does.
+  // Requests go to another service: the deadline of its changes is earlier than that of the pending request.
   clock.service_switched(300s);
   clock.request_sent(300s, 0s);
   EXPECT_EQ(clock.stale_from(), 304s);
@@ -156,10 +157,10 @@
   EXPECT_EQ(clock.stale_from(), 304s);
   clock.request_failed(303s, Failure::connection_refused);
   EXPECT_EQ(clock.stale_from(), 304s);
-  clock.service_switched(303s);  // nor does one more
+  clock.service_switched(303s);  // a second switch does not extend the deadline either
   EXPECT_EQ(clock.stale_from(), 304s);
   clock.list_received();
-  // What the service before may have kept back.
+  // Changes that the previous service may have withheld.
   clock.request_sent(400s, 10s);
   clock.service_switched(411s);
   EXPECT_EQ(clock.stale_from(), 412s);
@@ -173,19 +174,20 @@
   clock.service_switched(553s);
   EXPECT_EQ(clock.stale_from(), 556s);
   clock.list_received();
-  // Half a list on a watch that may wait for long: by when it came, not by that wait.
+  // A truncated list on a long poll: the deadline counts from its arrival, not from the end of the wait.
   clock.request_sent(600s, 20s);
   clock.request_failed(605s, Failure::truncated);
   EXPECT_EQ(clock.stale_from(), 609s);
   clock.list_received();
   clock.request_sent(700s, 20s);
-  clock.request_failed(703s, Failure::truncated);  // it may have waited for its turn
+  clock.request_failed(703s, Failure::truncated);  // the request may have been queued
   EXPECT_EQ(clock.stale_from(), 706s);
 }
 
-// Guards against a configuration that changes something else, and ends service since discovery is down.
-TEST(StalenessClock, KeepsWhatIsKnownOfAServiceThatIsNamedAgain) {
-  StalenessClock clock(kOutage);
+// Guards against a configuration that names the same service, changes something else, and makes the node stop
+// serving because discovery is down.
+TEST(StalenessClock, KeepsTheKnownOutageOfAServiceThatIsNamedAgain) {
+  StalenessClock clock(kOutageThreshold);
   clock.request_sent(90s, 20s);
   clock.configuration_reread(100s);
   EXPECT_EQ(clock.stale_from(), 104s);
@@ -193,13 +195,13 @@
   clock.request_failed(101s, Failure::error_response);
   EXPECT_EQ(clock.stale_from(), 104s);
   clock.list_received();
-  // It is down, and was before.
+  // The service was down before the configuration was read, and still is.
   clock.request_failed(200s, Failure::connection_refused);
   clock.configuration_reread(201s);
   EXPECT_EQ(clock.stale_from(), 206s);
   clock.request_failed(201s, Failure::connection_refused);
   EXPECT_EQ(clock.stale_from(), 207s);
-  // It went down with the request that is given up.
+  // The service went down while the cancelled request was pending.
   clock.list_received();
   clock.request_sent(290s, 20s);
   clock.configuration_reread(300s);
@@ -207,7 +209,7 @@
   EXPECT_EQ(clock.stale_from(), 307s);
 }
 
-TEST(StalenessClock, BelievesAnOutageThatLasts) {
+TEST(StalenessClock, AssumesAnOutageAfterTheThreshold) {
   const auto fail_until = [](StalenessClock& clock, Micros from, Micros until, Failure how) {
     for (Micros at = from; at <= until; at += 3s) {
       clock.request_sent(at, 0s);
@@ -216,82 +218,84 @@
   };
   for (const Failure how :
        {Failure::error_response, Failure::connection_closed, Failure::connection_refused}) {
-    StalenessClock clock(kOutage);
+    StalenessClock clock(kOutageThreshold);
     fail_until(clock, 100s, 115s, how);
     EXPECT_EQ(clock.stale_from(), 106s);
-    fail_until(clock, 118s, 118s, how);  // 10 s after 106 s
+    fail_until(clock, 118s, 118s, how);  // 10 s after the copy became stale at 106 s
     EXPECT_EQ(clock.stale_from(), 124s);
     fail_until(clock, 121s, 121s, how);
     EXPECT_EQ(clock.stale_from(), 127s);
     EXPECT_TRUE(clock.is_catching_up());
-    // Any other trouble counts within it as at any time.
-    StalenessClock turned = clock, silent = clock;
-    turned.service_switched(122s);
-    EXPECT_EQ(turned.stale_from(), 126s);
-    fail_until(turned, 123s, 200s, how);
-    EXPECT_EQ(turned.stale_from(), 126s);
-    silent.request_sent(122s, 0s);
-    silent.request_failed(126s, Failure::timeout);
-    fail_until(silent, 127s, 200s, how);
-    EXPECT_EQ(silent.stale_from(), 127s);
+    // Any other failure sets its deadline during an assumed outage as at any other time.
+    StalenessClock switched = clock, timed_out = clock;
+    switched.service_switched(122s);
+    EXPECT_EQ(switched.stale_from(), 126s);
+    fail_until(switched, 123s, 200s, how);
+    EXPECT_EQ(switched.stale_from(), 126s);
+    timed_out.request_sent(122s, 0s);
+    timed_out.request_failed(126s, Failure::timeout);
+    fail_until(timed_out, 127s, 200s, how);
+    EXPECT_EQ(timed_out.stale_from(), 127s);
     clock.list_received();
-    fail_until(clock, 130s, 133s, how);  // it is over with a list
+    fail_until(clock, 130s, 133s, how);  // a received list ended the assumed outage
     EXPECT_EQ(clock.stale_from(), 136s);
   }
 }
 
-// A service whose state over time is known, a node that asks it as Discovery does, and all that could be
-// heard there.
-class KnownService {
+// Simulates a discovery service with a known state over time and a node that sends it requests as Discovery
+// does. Compares the clock with the deadlines of all changes that could have been available at the service.
+class DiscoverySimulation {
  public:
-  explicit KnownService(unsigned seed) : chance_(seed) {
-    for (Micros at = 0s; at < kLasts;) {
-      // After each trouble it is well for long enough to be heard: an outage that lasts is told from a
-      // service that is crowded for as long only by that.
-      const bool well = spans_.empty() || spans_.back().state != State::well;
-      spans_.push_back({at, well ? State::well : any_trouble()});
-      at += well                                    ? between(8s, 15s)
-            : spans_.back().state == State::crowded ? between(2s, 9s)
-                                                    : between(2s, 25s);
+  explicit DiscoverySimulation(unsigned seed) : rng_(seed) {
+    for (Micros at = 0s; at < kDuration;) {
+      // After each failure the service is healthy long enough for a request to succeed. Only that
+      // distinguishes a long outage from a service that is overloaded for as long.
+      const bool healthy = spans_.empty() || spans_.back().state != State::healthy;
+      spans_.push_back({at, healthy ? State::healthy : random_failure_state()});
+      at += healthy                                    ? random_time(8s, 15s)
+            : spans_.back().state == State::overloaded ? random_time(2s, 9s)
+                                                       : random_time(2s, 25s);
     }
   }
 
-  // What is wrong at any moment; empty where all is well.
-  std::string play() {
-    while (now_ < kLasts && wrong_.empty()) {
-      if (chance(0.04)) turn();
-      call();
+  // Returns the first error found; empty if there is none.
+  std::string run() {
+    while (now_ < kDuration && error_.empty()) {
+      if (random_bool(0.04)) switch_service();
+      send_request();
     }
-    return wrong_;
+    return error_;
   }
-  unsigned settled() const { return settled_; }
-  unsigned stopped() const { return stopped_; }
+  unsigned lists_received() const { return lists_received_; }
+  unsigned stale_ticks() const { return stale_ticks_; }
 
  private:
-  static constexpr Micros kLasts = 200s, kTick = 100ms, kAnswers = 4s, kSilent = 500ms;
+  // Discovery waits kResponseTimeout for an immediate response, and kLongPollSlack beyond a long poll's wait.
+  static constexpr Micros kDuration = 200s, kTick = 100ms, kResponseTimeout = 4s, kLongPollSlack = 500ms;
   enum class State {
-    well,
-    crowded,  // answers 503 after 3 s, yet can be reached
-    down,     // answers 503, at once or after 3 s, and can't be reached
-    gone,     // refuses connections
-    mute      // takes calls and says nothing
+    healthy,
+    overloaded,    // responds 503 after 3 s, but is reachable
+    down,          // behind a proxy, which responds 503 or closes the connection, immediately or after 3 s
+    refusing,      // refuses connections
+    unresponsive,  // accepts requests and does not respond
   };
   struct Span {
     Micros from;
     State state;
   };
-  // What a silent call keeps back of changes made meanwhile, and when that counts as told.
-  struct Held {
-    Micros from, until, told;
+  // Changes made from `from` until `until` were withheld by an unanswered request. They bind the node from
+  // `deadline` on.
+  struct Withheld {
+    Micros from, until, deadline;
   };
-  State any_trouble() {
-    constexpr State kTroubles[] = {State::crowded, State::down, State::gone, State::mute};
-    return kTroubles[chance_() % std::size(kTroubles)];
+  State random_failure_state() {
+    constexpr State kFailures[] = {State::overloaded, State::down, State::refusing, State::unresponsive};
+    return kFailures[rng_() % std::size(kFailures)];
   }
-  Micros between(Micros least, Micros most) {
-    return Micros{std::uniform_int_distribution<std::int64_t>(least.count(), most.count())(chance_)};
+  Micros random_time(Micros min, Micros max) {
+    return Micros{std::uniform_int_distribution<std::int64_t>(min.count(), max.count())(rng_)};
   }
-  bool chance(double share) { return std::bernoulli_distribution(share)(chance_); }
+  bool random_bool(double probability) { return std::bernoulli_distribution(probability)(rng_); }
   std::size_t span_at(Micros at) const {
     const auto after = std::upper_bound(spans_.begin(), spans_.end(), at,
                                         [](Micros t, const Span& span) { return t < span.from; });
@@ -299,136 +303,142 @@
   }
   Micros span_end(Micros at) const {
     const std::size_t next = span_at(at) + 1;
-    return next < spans_.size() ? spans_[next].from : kLasts;
+    return next < spans_.size() ? spans_[next].from : kDuration;
   }
   State state(Micros at) const { return spans_[span_at(at)].state; }
-  bool reachable(Micros at) const { return state(at) != State::down && state(at) != State::gone; }
+  bool reachable(Micros at) const { return state(at) != State::down && state(at) != State::refusing; }
 
-  // When a change made then counts as told.
-  Micros told(Micros made) const {
-    Micros at = kNever;
-    for (const Held& held : held_)
-      if (made >= held.from && made < held.until) at = held.told;
+  // From when on a change made at `made` binds the node.
+  Micros deadline_of(Micros made) const {
+    Micros deadline = kNever;
+    for (const Withheld& withheld : withheld_)
+      if (made >= withheld.from && made < withheld.until) deadline = withheld.deadline;
     Micros from = made;
-    while (!reachable(from) && from < kLasts) from = span_end(from);
-    if (at == kNever) at = from + StalenessClock::kAfterChange;
-    if (turned_at_ && made <= *turned_at_) at = std::min(at, *turned_at_ + StalenessClock::kAfterSwitch);
-    return at;
+    while (!reachable(from) && from < kDuration) from = span_end(from);
+    if (deadline == kNever) deadline = from + StalenessClock::kChangeDeadline;
+    if (switched_at_ && made <= *switched_at_)
+      deadline = std::min(deadline, *switched_at_ + StalenessClock::kSwitchDeadline);
+    return deadline;
   }
-  // From the last answer on, each tick might have brought a change.
-  void judge() {
+  // Assumes that a change may have been made at each tick since the last time the copy was up to date.
+  void check() {
     Micros earliest = kNever;
-    for (Micros made = heard_ + 1us; made <= now_; made += kTick) earliest = std::min(earliest, told(made));
+    for (Micros made = up_to_date_at_ + 1us; made <= now_; made += kTick)
+      earliest = std::min(earliest, deadline_of(made));
     if (earliest <= now_ && clock_.stale_from() > now_) {
-      wrong_ = "at " + std::to_string(now_.count()) + " us a change counts as told since " +
-               std::to_string(earliest.count()) + " us, for the clock from " +
-               std::to_string(clock_.stale_from().count()) + " us, after:" + trace_;
+      error_ = "at " + std::to_string(now_.count()) + " us a change binds the node since " +
+               std::to_string(earliest.count()) + " us, but the clock's deadline is " +
+               std::to_string(clock_.stale_from().count()) + " us; events:" + trace_;
     }
-    stopped_ += clock_.stale_from() <= now_;
+    stale_ticks_ += clock_.stale_from() <= now_;
   }
-  void pass(Micros until) {
-    for (; now_ < until && wrong_.empty(); now_ = std::min(until, now_ + kTick)) judge();
+  void advance_to(Micros until) {
+    for (; now_ < until && error_.empty(); now_ = std::min(until, now_ + kTick)) check();
   }
-  // A call that went out then, and may wait for so long, has fallen silent.
-  void fall_silent(Micros began, Micros wait, Micros limit) {
-    const Micros told =
-        std::max(now_ + StalenessClock::kAfterChange, began + wait + StalenessClock::kAfterWait);
-    held_.push_back({now_, began + limit, told});
-    pass(began + limit);
+  // The request sent at `sent_at`, which the service may hold for `wait`, gets no response within `limit`.
+  void time_out(Micros sent_at, Micros wait, Micros limit) {
+    const Micros deadline =
+        std::max(now_ + StalenessClock::kChangeDeadline, sent_at + wait + StalenessClock::kLongPollDeadline);
+    withheld_.push_back({now_, sent_at + limit, deadline});
+    advance_to(sent_at + limit);
     fail(Failure::timeout);
   }
-  void note(const char* what) {
-    trace_.append(" ").append(std::to_string(now_.count())).append(" ").append(what);
+  void trace(const char* event) {
+    trace_.append(" ").append(std::to_string(now_.count())).append(" ").append(event);
   }
-  void turn() {
-    note("turned");
+  void switch_service() {
+    trace("service switched");
     clock_.service_switched(now_);
-    turned_at_ = now_;
+    switched_at_ = now_;
   }
   void fail(Failure how) {
-    constexpr const char* kNames[] = {"silent", "not whole", "refused", "broken", "unreachable"};
-    note(kNames[static_cast<int>(how)]);
+    constexpr const char* kNames[] = {"timeout", "truncated", "error response", "connection closed",
+                                      "connection refused"};
+    trace(kNames[static_cast<int>(how)]);
     const bool first = !clock_.is_catching_up();
     clock_.request_failed(now_, how);
-    if (first && (how == Failure::timeout || how == Failure::truncated)) return;
-    Micros next = now_ + between(500ms, 3750ms);
-    const Micros in_time = clock_.request_by() - between(0s, 1s);
+    if (first && (how == Failure::timeout || how == Failure::truncated)) return;  // retries immediately
+    Micros next = now_ + random_time(500ms, 3750ms);
+    const Micros in_time = clock_.request_by() - random_time(0s, 1s);
     if (in_time > now_) next = std::min(next, in_time);
-    pass(next);
+    advance_to(next);
   }
-  void hear(Micros at) {
-    spoilt_ = false;
+  void receive_list(Micros made_at) {
+    truncated_ = false;
     trace_.clear();
-    note("answered");
+    trace("list received");
     clock_.list_received();
-    heard_ = at;
-    turned_at_.reset();
-    ++settled_;
+    up_to_date_at_ = made_at;
+    switched_at_.reset();
+    ++lists_received_;
   }
-  void call() {
-    const bool at_once = clock_.is_catching_up() || now_ == 0s;
-    const Micros wait = at_once ? Micros{0} : between(10s, 20s);
+  void send_request() {
+    const bool immediate = clock_.is_catching_up() || now_ == 0s;
+    const Micros wait = immediate ? Micros{0} : random_time(10s, 20s);
     clock_.request_sent(now_, wait);
-    note(at_once ? "called" : "watched");
-    const Micros began = now_;
-    const Micros limit = at_once ? kAnswers : wait + kSilent;
+    trace(immediate ? "immediate request" : "long poll");
+    const Micros sent_at = now_;
+    const Micros limit = immediate ? kResponseTimeout : wait + kLongPollSlack;
     switch (state(now_)) {
-      case State::gone:
+      case State::refusing:
         return fail(Failure::connection_refused);
-      case State::crowded:
-        pass(now_ + 3s);
+      case State::overloaded:
+        advance_to(now_ + 3s);
         return fail(Failure::error_response);
       case State::down:
-        if (chance(0.5)) pass(now_ + 3s);
-        return fail(chance(0.5) ? Failure::error_response : Failure::connection_closed);
-      case State::mute:
-        return fall_silent(began, wait, limit);
-      case State::well:
+        if (random_bool(0.5)) advance_to(now_ + 3s);
+        return fail(random_bool(0.5) ? Failure::error_response : Failure::connection_closed);
+      case State::unresponsive:
+        return time_out(sent_at, wait, limit);
+      case State::healthy:
         break;
     }
-    // A watch tells of each change at once, so that all is known while it is out, until it fails.
-    const Micros ends = std::min(now_ + (at_once ? Micros{50ms} : wait), span_end(now_));
-    if (at_once && !spoilt_ && chance(0.15)) {
-      spoilt_ = true;
-      pass(now_ + between(0s, 2s));
+    // A long poll reports each change immediately, so that the copy is up to date until the request fails.
+    const Micros ends = std::min(now_ + (immediate ? Micros{50ms} : wait), span_end(now_));
+    if (immediate && !truncated_ && random_bool(0.15)) {
+      truncated_ = true;
+      advance_to(now_ + random_time(0s, 2s));
       return fail(Failure::truncated);
     }
-    if (!at_once) heard_ = ends;
-    pass(ends);
-    if (ends < span_end(began) || span_end(began) == kLasts) return hear(at_once ? began : ends);
+    if (!immediate) up_to_date_at_ = ends;
+    advance_to(ends);
+    if (ends < span_end(sent_at) || span_end(sent_at) == kDuration)
+      return receive_list(immediate ? sent_at : ends);
     switch (state(ends)) {
-      case State::mute:
-        return fall_silent(began, wait, limit);
-      case State::crowded:
+      case State::unresponsive:
+        return time_out(sent_at, wait, limit);
+      case State::overloaded:
         return fail(Failure::error_response);
       default:
         return fail(Failure::connection_closed);
     }
   }
 
-  std::mt19937 chance_;
+  std::mt19937 rng_;
   std::vector<Span> spans_;
-  std::vector<Held> held_;
-  StalenessClock clock_{kOutage};
-  Micros now_{0}, heard_{0};
-  std::optional<Micros> turned_at_;
-  bool spoilt_ = false;  // an answer since the last list
-  unsigned settled_ = 0, stopped_ = 0;
-  std::string wrong_, trace_;  // all since the last answer
+  std::vector<Withheld> withheld_;
+  StalenessClock clock_{kOutageThreshold};
+  Micros now_{0}, up_to_date_at_{0};
+  std::optional<Micros> switched_at_;
+  bool truncated_ = false;  // whether a response has been cut off since the last list
+  unsigned lists_received_ = 0, stale_ticks_ = 0;
+  std::string error_, trace_;  // trace_: the events since the last list
 };
 
-// Guards against any order of troubles in which a node goes on sending when something counts as told.
-TEST(StalenessClock, NeverComesTooLateInAnyOrderOfTroubles) {
+// Guards against any sequence of failures in which the clock's deadline is later than that of a change, so
+// that the node would use a stale list.
+TEST(StalenessClock, IsNeverLateInAnySequenceOfFailures) {
   constexpr unsigned kSeeds = 1000;
-  unsigned settled = 0, stopped = 0;
+  unsigned lists_received = 0, stale_ticks = 0;
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-    KnownService service(seed);
-    EXPECT_EQ(service.play(), "") << "seed " << seed;
-    settled += service.settled();
-    stopped += service.stopped();
+    DiscoverySimulation simulation(seed);
+    EXPECT_EQ(simulation.run(), "") << "seed " << seed;
+    lists_received += simulation.lists_received();
+    stale_ticks += simulation.stale_ticks();
   }
-  EXPECT_GT(settled, kSeeds * 5);
-  EXPECT_GT(stopped, kSeeds * 5);
+  // The simulation covers both states often enough.
+  EXPECT_GT(lists_received, kSeeds * 5);
+  EXPECT_GT(stale_ticks, kSeeds * 5);
 }
 
 }  // namespace
