--- a/src/address.cpp
+++ b/src/address.cpp
@@ -9,16 +9,16 @@
 std::optional<Address> parse_address(std::string_view text) {
   const std::size_t colon = text.rfind(':');
   if (colon == text.npos) return std::nullopt;
-  const std::string_view digits = text.substr(colon + 1);
+  const std::string_view port = text.substr(colon + 1);
   std::string_view host = text.substr(0, colon);
   if (host.size() > 1 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
   Address out;
-  const auto [end, bad_port] = std::from_chars(digits.data(), digits.data() + digits.size(), out.port);
-  if (bad_port != std::errc{} || end != digits.data() + digits.size()) return std::nullopt;
-  const std::string ended(host);
-  if (inet_pton(AF_INET, ended.c_str(), out.bytes.data()) == 1) return out;
+  const auto [end, error] = std::from_chars(port.data(), port.data() + port.size(), out.port);
+  if (error != std::errc{} || end != port.data() + port.size()) return std::nullopt;
+  const std::string null_terminated_host(host);
+  if (inet_pton(AF_INET, null_terminated_host.c_str(), out.bytes.data()) == 1) return out;
   out.is_v6 = true;
-  if (inet_pton(AF_INET6, ended.c_str(), out.bytes.data()) == 1) return out;
+  if (inet_pton(AF_INET6, null_terminated_host.c_str(), out.bytes.data()) == 1) return out;
   return std::nullopt;
 }
 
--- a/src/address.h
+++ b/src/address.h
@@ -1,4 +1,4 @@
-// Where a socket is reached: a numeric address and a port. There are no names to look up.
+// The address of a socket: a numeric IP address and a port. Host names are not supported.
 #pragma once
 
 #include <array>
@@ -11,14 +11,15 @@
 namespace flintweir {
 
 struct Address {
-  std::array<std::uint8_t, 16> bytes{};  // the first four where it is not is_v6
-  std::uint16_t port = 0;
+  std::array<std::uint8_t, 16> bytes{};  // in network byte order; the first four for IPv4
+  std::uint16_t port = 0;                // in host byte order
   bool is_v6 = false;
   friend auto operator<=>(const Address&, const Address&) = default;
 };
 
-// Reads `a.b.c.d:port` or `[v6]:port`.
+// Parses `a.b.c.d:port` or `[v6]:port`. Returns nothing if the text is neither.
 std::optional<Address> parse_address(std::string_view text);
-std::string to_text(const Address& address);  // the same way back
+// Formats an address so that parse_address() can read it.
+std::string to_text(const Address& address);
 
 }  // namespace flintweir
--- a/src/packing.h
+++ b/src/packing.h
@@ -1,5 +1,7 @@
-// What the fleet's datagrams have in common: twelve bytes of head (mark, version, kind, checksum, size of a
-// seal that is not used yet), then MessagePack, taken apart field by field. Nothing in them is authenticated.
+// The common format of all datagrams between nodes: a header of 12 bytes, then MessagePack objects that are
+// decoded field by field. The header has a magic number (2 bytes), the version (1), the message kind (1), a
+// checksum (4, little-endian) and 4 bytes that are zero, reserved for the size of an authentication tag.
+// Datagrams are not authenticated.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -15,13 +17,14 @@
 
 namespace flintweir::packing {
 
-inline constexpr std::size_t kHeaderSize = 12;
+inline constexpr std::size_t kHeaderSize = 12;  // bytes
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
+// Thrown when a datagram does not have the expected format.
 struct Malformed {};
 
-// Of all behind it, and of version and kind.
+// Covers everything after the checksum, and the version and message kind before it.
 inline std::uint32_t checksum(std::string_view bytes) {
   const auto kind = static_cast<std::uint64_t>(static_cast<std::uint8_t>(bytes[3]));
   return static_cast<std::uint32_t>(XXH3_64bits_withSeed(bytes.data() + 8, bytes.size() - 8,
@@ -38,65 +41,67 @@
   return sum == checksum(bytes);
 }
 
-inline void pack_text(Packer& p, std::string_view s) {
-  p.pack_str(static_cast<std::uint32_t>(s.size()));
-  p.pack_str_body(s.data(), static_cast<std::uint32_t>(s.size()));
+inline void pack_text(Packer& packer, std::string_view text) {
+  packer.pack_str(static_cast<std::uint32_t>(text.size()));
+  packer.pack_str_body(text.data(), static_cast<std::uint32_t>(text.size()));
 }
 
-inline void pack_address(Packer& p, const Address& a) {
+// Packs the IP address and then the port, both in network byte order.
+inline void pack_address(Packer& packer, const Address& address) {
   char bytes[18];
-  const std::size_t n = a.is_v6 ? 16 : 4;
-  std::memcpy(bytes, a.bytes.data(), n);
-  bytes[n] = static_cast<char>(a.port >> 8);
-  bytes[n + 1] = static_cast<char>(a.port);
-  p.pack_bin(static_cast<std::uint32_t>(n + 2));
-  p.pack_bin_body(bytes, static_cast<std::uint32_t>(n + 2));
+  const std::size_t n = address.is_v6 ? 16 : 4;
+  std::memcpy(bytes, address.bytes.data(), n);
+  bytes[n] = static_cast<char>(address.port >> 8);
+  bytes[n + 1] = static_cast<char>(address.port);
+  packer.pack_bin(static_cast<std::uint32_t>(n + 2));
+  packer.pack_bin_body(bytes, static_cast<std::uint32_t>(n + 2));
 }
 
-// One array of a datagram, taken field by field.
+// Reads the elements of one MessagePack array in order. Every read throws Malformed if the next element is
+// missing or of another type. Returned views point into the decoded object.
 class FieldReader {
  public:
-  explicit FieldReader(const msgpack::object& o) {
-    if (o.type != msgpack::type::ARRAY) throw Malformed();
-    at_ = o.via.array.ptr;
-    end_ = at_ + o.via.array.size;
+  explicit FieldReader(const msgpack::object& array) {
+    if (array.type != msgpack::type::ARRAY) throw Malformed();
+    next_ = array.via.array.ptr;
+    end_ = next_ + array.via.array.size;
   }
   std::uint64_t read_number() {
-    const msgpack::object& o = next();
-    if (o.type != msgpack::type::POSITIVE_INTEGER) throw Malformed();
-    return o.via.u64;
+    const msgpack::object& field = next();
+    if (field.type != msgpack::type::POSITIVE_INTEGER) throw Malformed();
+    return field.via.u64;
   }
-  std::string_view read_text(std::size_t longest) {
-    const msgpack::object& o = next();
-    if (o.type != msgpack::type::STR || o.via.str.size > longest) throw Malformed();
-    const std::string_view out(o.via.str.ptr, o.via.str.size);
-    // They are written to logs and tables.
+  std::string_view read_text(std::size_t max_bytes) {
+    const msgpack::object& field = next();
+    if (field.type != msgpack::type::STR || field.via.str.size > max_bytes) throw Malformed();
+    const std::string_view out(field.via.str.ptr, field.via.str.size);
+    // These texts are written to logs and tables without escaping.
     if (!is_printable_token(out)) throw Malformed();
     return out;
   }
-  std::string_view read_bytes(std::size_t longest) {
-    const msgpack::object& o = next();
-    if (o.type != msgpack::type::BIN || o.via.bin.size > longest) throw Malformed();
-    return {o.via.bin.ptr, o.via.bin.size};
+  std::string_view read_bytes(std::size_t max_bytes) {
+    const msgpack::object& field = next();
+    if (field.type != msgpack::type::BIN || field.via.bin.size > max_bytes) throw Malformed();
+    return {field.via.bin.ptr, field.via.bin.size};
   }
   Address read_address() {
-    const std::string_view b = read_bytes(18);
+    const std::string_view bytes = read_bytes(18);
     Address out;
-    if (b.size() != 6 && b.size() != 18) throw Malformed();
-    out.is_v6 = b.size() == 18;
-    std::memcpy(out.bytes.data(), b.data(), b.size() - 2);
-    out.port = static_cast<std::uint16_t>(static_cast<std::uint8_t>(b[b.size() - 2]) << 8 |
-                                          static_cast<std::uint8_t>(b[b.size() - 1]));
+    if (bytes.size() != 6 && bytes.size() != 18) throw Malformed();
+    out.is_v6 = bytes.size() == 18;
+    std::memcpy(out.bytes.data(), bytes.data(), bytes.size() - 2);
+    out.port = static_cast<std::uint16_t>(static_cast<std::uint8_t>(bytes[bytes.size() - 2]) << 8 |
+                                          static_cast<std::uint8_t>(bytes[bytes.size() - 1]));
     return out;
   }
-  bool has_more() const { return at_ != end_; }
+  bool has_more() const { return next_ != end_; }
 
  private:
   const msgpack::object& next() {
-    if (at_ == end_) throw Malformed();
-    return *at_++;
+    if (next_ == end_) throw Malformed();
+    return *next_++;
   }
-  const msgpack::object *at_, *end_;
+  const msgpack::object *next_, *end_;
 };
 
 }  // namespace flintweir::packing
