--- a/tests/node_stale_list_test.cpp
+++ b/tests/node_stale_list_test.cpp
@@ -1,5 +1,5 @@
-// The program beside a list of hosts that it does not hear of, over longer than one trouble: from when what
-// it has not heard counts as told it sends nothing new, whatever else befalls the list after that.
+// A node process that fails to receive the host list for longer than one failure lasts. Once its copy of the
+// list is stale by the protocol's deadlines it must dial no host for new sessions, whatever failures follow.
 #include <atomic>
 #include <thread>
 
@@ -8,157 +8,159 @@
 namespace flintweir::node_tests {
 namespace {
 
-// Discovery, played by a thread of its own.
+// A discovery service that runs in its own thread.
 class ListService {
  public:
   enum class Mode {
-    answers,     // watches wait, other calls get the whole list
-    turns_away,  // each call is answered 503 at once
-    half_lists,  // the calls that are out get half a list, the next one where none is; silent from then on
-    silent       // calls are taken and get no answer
+    normal,       // long polls stay pending, other requests get the whole list
+    error,        // each request is answered with 503 immediately
+    truncating,   // pending requests get half a list, or the next one if none is pending; then unresponsive
+    unresponsive  // accepts requests and does not respond
   };
   explicit ListService(const std::string& targets)
-      : whole_(list_json(1, true, targets)), thread_([this] { serve(); }) {}
+      : list_(list_json(1, true, targets)), thread_([this] { serve(); }) {}
   ~ListService() { stop(); }
   ListService(const ListService&) = delete;
   int port() const { return acceptor_.port(); }
-  void turn(Mode mode) { mode_ = mode; }
-  // From now on nobody listens here, and what is out is reset.
+  void set_mode(Mode mode) { mode_ = mode; }
+  // Stops listening and resets all connections.
   void stop() {
-    over_ = true;
+    stopped_ = true;
     if (thread_.joinable()) thread_.join();
-    for (Call& call : calls_) call.peer.reset();
-    calls_.clear();
+    for (Request& request : requests_) request.peer.reset();
+    requests_.clear();
     acceptor_.close();
   }
 
  private:
-  struct Call {
+  struct Request {
     Peer peer;
-    bool watch = false, out = false;
+    bool is_long_poll = false, is_pending = false;
   };
   void serve() {
-    while (!over_) {
-      if (acceptor_.connection_pending(2ms)) calls_.push_back({acceptor_.accept()});
-      for (Call& call : calls_) {
-        hear(call);
-        if (call.out) answer(call);
+    while (!stopped_) {
+      if (acceptor_.connection_pending(2ms)) requests_.push_back({acceptor_.accept()});
+      for (Request& request : requests_) {
+        receive(request);
+        if (request.is_pending) respond(request);
       }
-      if (std::exchange(gave_half_, false)) mode_ = Mode::silent;
+      if (std::exchange(truncated_, false)) mode_ = Mode::unresponsive;
     }
   }
-  static void hear(Call& call) {
-    for (std::string line = call.peer.read_line(0ms); !line.starts_with('(');
-         line = call.peer.read_line(0ms)) {
-      if (line.starts_with("GET ")) call.watch = line.find("since=") != line.npos;
-      call.out = line.empty();
+  static void receive(Request& request) {
+    for (std::string line = request.peer.read_line(0ms); !line.starts_with('(');
+         line = request.peer.read_line(0ms)) {
+      if (line.starts_with("GET ")) request.is_long_poll = line.find("since=") != line.npos;
+      request.is_pending = line.empty();
     }
   }
-  void answer(Call& call) {
+  void respond(Request& request) {
     const Mode mode = mode_;
-    if (mode == Mode::silent || (mode == Mode::answers && call.watch)) return;
-    call.out = false;
-    gave_half_ = mode == Mode::half_lists;
-    const std::string body = mode == Mode::turns_away   ? ""
-                             : mode == Mode::half_lists ? whole_.substr(0, whole_.size() / 2)
-                                                        : whole_;
-    const char* status = mode == Mode::turns_away ? "503 Service Unavailable" : "200 OK";
-    call.peer.send("HTTP/1.1 " + std::string(status) + "\r\nContent-Length: " + std::to_string(body.size()) +
-                   "\r\n\r\n" + body);
+    if (mode == Mode::unresponsive || (mode == Mode::normal && request.is_long_poll)) return;
+    request.is_pending = false;
+    truncated_ = mode == Mode::truncating;
+    const std::string body = mode == Mode::error        ? ""
+                             : mode == Mode::truncating ? list_.substr(0, list_.size() / 2)
+                                                        : list_;
+    const char* status = mode == Mode::error ? "503 Service Unavailable" : "200 OK";
+    request.peer.send("HTTP/1.1 " + std::string(status) +
+                      "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   }
 
   Acceptor acceptor_;
-  std::string whole_;
-  std::atomic<Mode> mode_ = Mode::answers;
-  std::atomic<bool> over_ = false;
-  bool gave_half_ = false;
-  std::vector<Call> calls_;
-  std::thread thread_;  // the last: it uses all the others
+  std::string list_;
+  std::atomic<Mode> mode_ = Mode::normal;
+  std::atomic<bool> stopped_ = false;
+  bool truncated_ = false;
+  std::vector<Request> requests_;
+  std::thread thread_;  // last, because it uses all other members
 };
 
 class StaleList : public Node {
  protected:
   using Mode = ListService::Mode;
-  // The protocol's figures, and what the rule allows beyond them.
+  // The protocol's deadlines, the tolerance beyond them, and how long no host may be dialled after that.
   static constexpr auto kStaleAfterSwitch = 4s, kStaleAfterChange = 6s;
-  static constexpr auto kGrace = 350ms;
-  static constexpr auto kStops = 3s;  // for so long nothing may be sent
+  static constexpr auto kTolerance = 350ms;
+  static constexpr auto kObservation = 3s;
 
   std::string targets() const {
     return target_json(host_name(0), hosts[0].port()) + "," + target_json(host_name(1), hosts[1].port());
   }
-  Steady::time_point turn_to(int service) {
+  Steady::time_point switch_discovery(int discovery_port) {
     const auto now = Steady::now();
-    program->write_config(config(service));
+    program->write_config(config(discovery_port));
     program->send_signal(SIGHUP);
     EXPECT_FALSE(program->wait_for_log("reload: discovery at ").empty());
     return now;
   }
-  // Whether a session that comes now is sent to a host. Its connection there is kept, as an end would have
-  // the node dial another.
-  bool sends() {
-    program->wait_for_log("(no such line)", 100ms);  // a log that nobody reads holds the program up
+  // Whether the node dials a host for a new session. The connection to the host stays open, because closing
+  // it would make the node dial another host.
+  bool dials_for_a_session() {
+    program->wait_for_log("(no such line)", 100ms);  // reads the log, as a full pipe would block the node
     while (dialled_within(0ms)) continue;
     Peer client = open_session();
     return dialled_within(300ms);
   }
-  void expect_stopped(Steady::time_point from, const char* why) {
+  void expect_no_dials(Steady::time_point from, const char* why) {
     while (Steady::now() < from) wait_readable(-1, 5ms);
-    while (Steady::now() < from + kStops) ASSERT_FALSE(sends()) << why;
+    while (Steady::now() < from + kObservation) ASSERT_FALSE(dials_for_a_session()) << why;
   }
 
  private:
   bool dialled_within(Steady::duration within) {
-    std::vector<pollfd> doors;
-    for (const Acceptor& host : hosts) doors.push_back({host.fd(), POLLIN, 0});
+    std::vector<pollfd> acceptors;
+    for (const Acceptor& host : hosts) acceptors.push_back({host.fd(), POLLIN, 0});
     const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(within).count();
-    if (poll(doors.data(), doors.size(), static_cast<int>(ms)) <= 0) return false;
+    if (poll(acceptors.data(), acceptors.size(), static_cast<int>(ms)) <= 0) return false;
     for (std::size_t i = 0; i < hosts.size(); ++i)
-      if (doors[i].revents & POLLIN) kept_.push_back(hosts[i].accept());
+      if (acceptors[i].revents & POLLIN) host_connections_.push_back(hosts[i].accept());
     return true;
   }
-  std::vector<Peer> kept_;
+  std::vector<Peer> host_connections_;
 };
 
-// Guards against a refused connection that puts off what counts as told since a new configuration.
-TEST_F(StaleList, NothingIsSentWhereANewConfigurationNamesAServiceThatRefuses) {
+// Guards against a refused connection that extends the deadline set by a new discovery address.
+TEST_F(StaleList, DialsNoHostIfTheNewDiscoveryServiceRefusesConnections) {
   start_node(2);
-  Acceptor nobody;
-  nobody.close();
-  const auto turned = turn_to(nobody.port());
-  EXPECT_TRUE(sends());
-  expect_stopped(turned + kStaleAfterSwitch + kGrace, "told of another service, which is not there");
+  Acceptor closed;
+  closed.close();
+  const auto switched_at = switch_discovery(closed.port());
+  EXPECT_TRUE(dials_for_a_session());
+  expect_no_dials(switched_at + kStaleAfterSwitch + kTolerance,
+                  "the new discovery service refuses connections");
 }
 
-// Guards against a node that stops for a while only, or only once, as long as it hears nothing. Here
-// discovery was down for longer than it takes to be believed, so that the node sends again before the new
+// Guards against a node that resumes dialling while it still receives no list, or stops dialling only once.
+// Discovery is down for so long that an outage is assumed and the node dials again before the new
 // configuration.
-TEST_F(StaleList, NothingIsSentAfterANewConfigurationThatFollowsALongOutage) {
-  ask_every = 2'500'000;  // four times that, and six seconds, until an outage is believed
+TEST_F(StaleList, DialsNoHostAfterASwitchThatFollowsALongOutage) {
+  ask_every = 2'500'000;  // an outage is assumed after four times this plus 6 s
   start_node(2);
   ListService first(targets()), second(targets());
-  turn_to(first.port());
+  switch_discovery(first.port());
   ASSERT_FALSE(program->wait_for_log("list: taken version=1").empty());
-  first.turn(Mode::turns_away);
-  bool sent = false;
-  for (const auto until = Steady::now() + 17s; Steady::now() < until;) sent = sends();
-  EXPECT_TRUE(sent) << "a list that nobody can give ends all service";
-  second.turn(Mode::silent);
-  const auto turned = turn_to(second.port());
-  expect_stopped(turned + kStaleAfterSwitch + kGrace, "told of another service, which is silent");
+  first.set_mode(Mode::error);
+  bool dialled = false;
+  for (const auto until = Steady::now() + 17s; Steady::now() < until;) dialled = dials_for_a_session();
+  EXPECT_TRUE(dialled) << "the node stopped serving for good because of an outage of discovery";
+  second.set_mode(Mode::unresponsive);
+  const auto switched_at = switch_discovery(second.port());
+  expect_no_dials(switched_at + kStaleAfterSwitch + kTolerance, "the new discovery service is unresponsive");
 }
 
-// Guards against half a list that counts by the wait its call was allowed, up to 22 s, not by when it came.
-TEST_F(StaleList, NothingIsSentSixSecondsAfterHalfAListCame) {
+// Guards against a truncated list whose deadline counts from the end of the maximum wait of its request,
+// which is up to 22 s, instead of from its arrival.
+TEST_F(StaleList, DialsNoHostSixSecondsAfterATruncatedList) {
   start_node(2);
   ListService service(targets());
-  turn_to(service.port());
+  switch_discovery(service.port());
   ASSERT_FALSE(program->wait_for_log("list: taken version=1").empty());
-  const auto spoilt = Steady::now();
-  service.turn(Mode::half_lists);
+  const auto truncated_at = Steady::now();
+  service.set_mode(Mode::truncating);
   ASSERT_FALSE(program->wait_for_log("malformed or stale").empty());
-  EXPECT_TRUE(sends());
-  expect_stopped(spoilt + kStaleAfterChange + kGrace, "half a list had come");
+  EXPECT_TRUE(dials_for_a_session());
+  expect_no_dials(truncated_at + kStaleAfterChange + kTolerance, "a truncated list was received");
 }
 
 }  // namespace
