--- a/src/node/fleet_member.cpp
+++ b/src/node/fleet_member.cpp
@@ -7,21 +7,23 @@
 namespace flintweir::node {
 namespace {
 
-constexpr int kDatagramsInARow = 64;  // so that sessions get their turn under a flood
-constexpr int kKnowsAll = 30;         // intervals after it joined a node's view holds whoever there is
-// A wake of this adapter's own, beside those of the view.
-constexpr std::uint64_t kCounts = ~0ull;
+// Bounds the datagrams received at a time, so that a flood of them does not starve the sessions.
+constexpr int kDatagramBatch = 64;
+// This many probe intervals after it joined, a node's view holds all members.
+constexpr int kFullViewIntervals = 30;
+// The timer of this class; all others belong to the view.
+constexpr std::uint64_t kNodeCountTimer = ~0ull;
 
 }  // namespace
 
 FleetMember::FleetMember(Network& network, TimerQueue& timers, const setup::FleetSection& fleet,
                          std::string name, std::string version, std::uint64_t seed,
-                         std::function<void(unsigned)> count)
+                         std::function<void(unsigned)> on_node_count)
     : network_(network),
       timers_(timers),
       fleet_(fleet),
       name_(name),
-      count_(std::move(count)),
+      on_node_count_(std::move(on_node_count)),
       seed_(seed),
       view_(*this, fleet.name, std::move(name),
             members::Generation{static_cast<std::uint64_t>(timers.now().count())}, fleet.advertised,
@@ -34,11 +36,11 @@
            to_text(fleet_.advertised).c_str(), name_.c_str());
   network_.wait_datagram(*this);
   if (leases_)
-    voting_ = std::make_unique<LeaseVoter>(network_, *leases_, name_, fleet_.advertised,
-                                           static_cast<std::uint64_t>(timers_.now().count()));
+    lease_voter_ = std::make_unique<LeaseVoter>(network_, *leases_, name_, fleet_.advertised,
+                                                static_cast<std::uint64_t>(timers_.now().count()));
   view_.set_time(timers_.now());
   view_.start();
-  if (changing_) changing_->start();
+  if (change_distributor_) change_distributor_->start();
 }
 
 void FleetMember::enable_voting(const setup::LeasesSection& leases) {
@@ -46,15 +48,15 @@
 }
 
 void FleetMember::enable_changes(const setup::ChangesSection& changes,
-                                 std::function<std::string(const changes::Change&)> take) {
-  changing_ = std::make_unique<ChangeDistributor>(network_, timers_, view_, fleet_, changes, name_,
-                                                  mix(seed_), std::move(take));
+                                 std::function<std::string(const changes::Change&)> apply) {
+  change_distributor_ = std::make_unique<ChangeDistributor>(network_, timers_, view_, fleet_, changes, name_,
+                                                            mix(seed_), std::move(apply));
 }
 
 void FleetMember::reload(const setup::FleetSection& fleet) {
-  setup::FleetSection with_seeds = fleet_;
-  with_seeds.seeds = fleet.seeds;
-  if (fleet != with_seeds) log_line("reload: fleet: all but the seeds holds until the next start");
+  setup::FleetSection expected = fleet_;
+  expected.seeds = fleet.seeds;
+  if (fleet != expected) log_line("reload: fleet: changes other than seeds take effect at the next start");
   fleet_.seeds = fleet.seeds;
   view_.set_time(timers_.now());
   view_.set_seeds(fleet.seeds);
@@ -68,55 +70,55 @@
 void FleetMember::datagram_pending() {
   char bytes[members::kMaxDatagramBytes + 1];
   view_.set_time(timers_.now());
-  for (int i = 0; i < kDatagramsInARow; ++i) {
-    const ReceiveResult got = network_.receive(bytes, sizeof bytes);
-    if (got.status == IoStatus::would_block) break;
-    if (got.status != IoStatus::done) continue;
-    const std::string_view text(bytes, got.bytes);
-    if (changes::is_change_datagram(text)) {
-      if (changing_) changing_->received(got.from, text);
-    } else if (!leases::is_lease_datagram(text))
-      view_.received(got.from, text);
-    else if (voting_ && view_.joined())  // a second process of this name has no vote
-      voting_->received(text);
+  for (int i = 0; i < kDatagramBatch; ++i) {
+    const ReceiveResult received = network_.receive(bytes, sizeof bytes);
+    if (received.status == IoStatus::would_block) break;
+    if (received.status != IoStatus::done) continue;
+    const std::string_view datagram(bytes, received.bytes);
+    if (changes::is_change_datagram(datagram)) {
+      if (change_distributor_) change_distributor_->on_datagram(received.from, datagram);
+    } else if (!leases::is_lease_datagram(datagram))
+      view_.received(received.from, datagram);
+    else if (lease_voter_ && view_.joined())  // a second process of the same name must not vote
+      lease_voter_->on_datagram(datagram);
   }
   network_.wait_datagram(*this);
 }
 
 void FleetMember::timer_expired(std::uint64_t token) {
-  if (token == kCounts) return tell_count();
+  if (token == kNodeCountTimer) return report_node_count();
   view_.set_time(timers_.now());
   view_.timer_expired(TimerId{token});
 }
 
-void FleetMember::on_member_changed(std::string_view name, const members::Member& now, bool fresh) {
+void FleetMember::on_member_changed(std::string_view name, const members::Member& member, bool is_new) {
   log_line("member name=%.*s standing=%s start=%llu word=%u address=%s zone=%s by=%s%s digest=%016llx",
-           static_cast<int>(name.size()), name.data(), members::name_of(now.state),
-           static_cast<unsigned long long>(now.generation.value), now.incarnation,
-           to_text(now.address).c_str(), now.zone.empty() ? "-" : now.zone.c_str(),
-           now.reported_by.empty() ? "-" : now.reported_by.c_str(), fresh ? " new" : "",
+           static_cast<int>(name.size()), name.data(), members::name_of(member.state),
+           static_cast<unsigned long long>(member.generation.value), member.incarnation,
+           to_text(member.address).c_str(), member.zone.empty() ? "-" : member.zone.c_str(),
+           member.reported_by.empty() ? "-" : member.reported_by.c_str(), is_new ? " new" : "",
            static_cast<unsigned long long>(view_.digest()));
-  tell_count();
+  report_node_count();
 }
 
 void FleetMember::log(std::string_view line) {
   log_line("fleet: %.*s", static_cast<int>(line.size()), line.data());
 }
 
-// The settings' count stands until the view has had the time to hold whoever there is.
-void FleetMember::tell_count() {
+// The node count of the settings remains in use until the view has had enough time to learn of all members.
+void FleetMember::report_node_count() {
   if (!view_.joined()) return;
   const Micros now = timers_.now();
-  const Micros learns = fleet_.probe_interval * kKnowsAll;
+  const Micros full_view_after = fleet_.probe_interval * kFullViewIntervals;
   if (joined_at_ == kNever) {
     joined_at_ = now;
-    return timers_.schedule(learns, *this, kCounts);
+    return timers_.schedule(full_view_after, *this, kNodeCountTimer);
   }
-  const unsigned acting = view_.active_count();
-  if (now - joined_at_ < learns || acting == told_) return;
-  told_ = acting;
-  log_line("fleet: count=%u", acting);
-  count_(acting);
+  const unsigned active = view_.active_count();
+  if (now - joined_at_ < full_view_after || active == reported_count_) return;
+  reported_count_ = active;
+  log_line("fleet: count=%u", active);
+  on_node_count_(active);
 }
 
 }  // namespace flintweir::node
--- a/src/node/lease_voter.h
+++ b/src/node/lease_voter.h
@@ -1,4 +1,5 @@
-// A node as one of the voters for leases: its voter on the fleet's address, and its log lines.
+// Runs a lease voter on a node: handles the requests that arrive at the node's fleet address, sends the
+// replies and stores the voter's promises.
 #pragma once
 
 #include <functional>
@@ -15,26 +16,26 @@
 
 class LeaseVoter final : leases::DatagramHandler {
  public:
-  // Throws std::runtime_error where its folder is not to be used. `told`: where this node is reached.
-  // `start`: the wall clock at the start, in microseconds.
-  LeaseVoter(net::Network& network, const setup::LeasesSection& leases, std::string name, const Address& told,
-             std::uint64_t start);
-  void received(std::string_view bytes);
+  // `advertised` is the address at which other machines reach this node, `start_time` the wall clock at the
+  // start in microseconds. Throws std::runtime_error if the folder of `leases` cannot be used.
+  LeaseVoter(net::Network& network, const setup::LeasesSection& leases, std::string name,
+             const Address& advertised, std::uint64_t start_time);
+  void on_datagram(std::string_view bytes);
 
  private:
   void on_request(const leases::Sender& from, const leases::Request& request) override;
-  void show(const leases::Sender& to, std::string_view after);
-  void answer(const Address& to, const leases::Reply& reply);
+  void send_status_page(const leases::Sender& to, std::string_view after);
+  void send_reply(const Address& to, const leases::Reply& reply);
 
   net::Network& network_;
   std::string name_;
-  Address told_;
-  std::uint64_t set_;
-  DiskDirectory disk_;
-  std::optional<PromiseStore> folder_;
+  Address advertised_;
+  std::uint64_t voter_set_;
+  DiskDirectory directory_;
+  std::optional<PromiseStore> store_;  // unset if no folder is configured
   leases::Voter voter_;
-  std::map<std::string, Address, std::less<>> places_;  // of those who stand in line
-  Micros complained_at_;
+  std::map<std::string, Address, std::less<>> waiter_addresses_;  // by the name of the waiting participant
+  Micros mismatch_logged_at_;
 };
 
 }  // namespace flintweir::node
--- a/src/node/promise_store.cpp
+++ b/src/node/promise_store.cpp
@@ -16,8 +16,10 @@
 namespace flintweir::node {
 namespace {
 
-constexpr const char* kMarker = "voter";
+// Names the voter to which the directory belongs.
+constexpr const char* kVoterFile = "voter";
 
+// Closes a file descriptor at the end of its scope.
 class Descriptor {
  public:
   explicit Descriptor(int fd) : fd_(fd) {}
@@ -31,16 +33,17 @@
   int fd_;
 };
 
-// Of the text, so that one that a disk has spoilt is told from a good one.
-std::string with_sum(const std::string& text) {
-  std::uint64_t sum = 0xcbf29ce484222325;
-  for (const char c : text) sum = mix(sum ^ static_cast<std::uint8_t>(c));
+// Appends a line with a checksum, by which a file that the disk has corrupted is detected.
+std::string with_checksum(const std::string& text) {
+  std::uint64_t checksum = 0xcbf29ce484222325;
+  for (const char c : text) checksum = mix(checksum ^ static_cast<std::uint8_t>(c));
   char line[32];
-  std::snprintf(line, sizeof line, "sum %016llx\n", static_cast<unsigned long long>(sum));
+  std::snprintf(line, sizeof line, "sum %016llx\n", static_cast<unsigned long long>(checksum));
   return text + line;
 }
 
-std::string file_of(const std::string& lease) {
+// The name of the file for a lease; the lease's name is in hexadecimal.
+std::string file_name(const std::string& lease) {
   std::string out = "lease-";
   char hex[3];
   for (const char c : lease) {
@@ -50,24 +53,26 @@
   return out;
 }
 
-std::string text_of(const leases::VoterStorage::Record& k) {
+std::string encode_record(const leases::VoterStorage::Record& record) {
   const auto or_none = [](const std::string& s) { return s.empty() ? std::string("-") : s; };
-  return with_sum("1 " + k.lease + ' ' + std::to_string(k.promised.value) + ' ' + or_none(k.promised_to) +
-                  ' ' + std::to_string(k.granted.value) + ' ' + or_none(k.holder) + '\n');
+  return with_checksum("1 " + record.lease + ' ' + std::to_string(record.promised.value) + ' ' +
+                       or_none(record.promised_to) + ' ' + std::to_string(record.granted.value) + ' ' +
+                       or_none(record.holder) + '\n');
 }
 
-std::optional<leases::VoterStorage::Record> kept_of(const std::string& text) {
+std::optional<leases::VoterStorage::Record> decode_record(const std::string& text) {
   const std::size_t end = text.find('\n');
-  if (end == text.npos || with_sum(text.substr(0, end + 1)) != text) return std::nullopt;
+  if (end == text.npos || with_checksum(text.substr(0, end + 1)) != text) return std::nullopt;
   std::istringstream in(text);
-  leases::VoterStorage::Record k;
+  leases::VoterStorage::Record record;
   int version = 0;
-  if (!(in >> version >> k.lease >> k.promised.value >> k.promised_to >> k.granted.value >> k.holder) ||
+  if (!(in >> version >> record.lease >> record.promised.value >> record.promised_to >>
+        record.granted.value >> record.holder) ||
       version != 1)
     return std::nullopt;
-  if (k.promised_to == "-") k.promised_to.clear();
-  if (k.holder == "-") k.holder.clear();
-  return k;
+  if (record.promised_to == "-") record.promised_to.clear();
+  if (record.holder == "-") record.holder.clear();
+  return record;
 }
 
 }  // namespace
@@ -88,8 +93,8 @@
 }
 
 bool DiskDirectory::sync() {
-  const Descriptor folder(::open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  return folder.get() >= 0 && ::fsync(folder.get()) == 0;
+  const Descriptor directory(::open(path_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+  return directory.get() >= 0 && ::fsync(directory.get()) == 0;
 }
 
 std::optional<std::string> DiskDirectory::read(const std::string& name) {
@@ -101,38 +106,43 @@
 
 std::vector<std::string> DiskDirectory::file_names() {
   std::vector<std::string> out;
-  DIR* const folder = ::opendir(path_.c_str());
-  if (!folder) throw std::runtime_error("leases.folder: " + path_ + " can't be read");
-  while (const dirent* const e = ::readdir(folder)) out.emplace_back(e->d_name);
-  ::closedir(folder);
+  DIR* const directory = ::opendir(path_.c_str());
+  if (!directory) throw std::runtime_error("leases.folder: " + path_ + " cannot be read");
+  while (const dirent* const entry = ::readdir(directory)) out.emplace_back(entry->d_name);
+  ::closedir(directory);
   std::sort(out.begin(), out.end());
   return out;
 }
 
-PromiseStore::PromiseStore(Directory& disk, const std::string& voter) : disk_(disk) {
-  const std::string own = with_sum("1 " + voter + '\n');
-  const std::vector<std::string> names = disk.file_names();
-  if (std::find(names.begin(), names.end(), kMarker) == names.end()) {
-    if (!put(kMarker, own)) throw std::runtime_error("leases.folder can't be written");
+PromiseStore::PromiseStore(Directory& directory, const std::string& voter) : directory_(directory) {
+  const std::string voter_file = with_checksum("1 " + voter + '\n');
+  const std::vector<std::string> names = directory.file_names();
+  if (std::find(names.begin(), names.end(), kVoterFile) == names.end()) {
+    if (!replace_file(kVoterFile, voter_file)) throw std::runtime_error("leases.folder cannot be written");
     return;
   }
-  if (disk.read(kMarker) != own) throw std::runtime_error("leases.folder is another voter's, or spoilt");
-  kept_.emplace();
+  if (directory.read(kVoterFile) != voter_file)
+    throw std::runtime_error("leases.folder belongs to another voter or is corrupted");
+  loaded_.emplace();
   for (const std::string& name : names) {
     if (!name.starts_with("lease-") || name.ends_with(".new")) continue;
-    const auto text = disk.read(name);
-    const auto one = text ? kept_of(*text) : std::nullopt;
-    // Guards against a vote on what is no longer known: one bad file makes the whole folder untrusted.
-    if (!one)
-      throw std::runtime_error("leases.folder: " + name + " is spoilt; empty the folder to start without it");
-    kept_->push_back(*one);
+    const auto text = directory.read(name);
+    const auto record = text ? decode_record(*text) : std::nullopt;
+    // One corrupted file makes the whole directory untrusted. Otherwise this voter could vote contrary to a
+    // promise that it no longer knows.
+    if (!record)
+      throw std::runtime_error("leases.folder: " + name +
+                               " is corrupted; empty the folder to start without its records");
+    loaded_->push_back(*record);
   }
 }
 
-bool PromiseStore::put(const std::string& name, const std::string& text) {
-  return disk_.write(name + ".new", text) && disk_.rename(name + ".new", name) && disk_.sync();
+bool PromiseStore::replace_file(const std::string& name, const std::string& text) {
+  return directory_.write(name + ".new", text) && directory_.rename(name + ".new", name) && directory_.sync();
 }
 
-bool PromiseStore::save(const Record& record) { return put(file_of(record.lease), text_of(record)); }
+bool PromiseStore::save(const Record& record) {
+  return replace_file(file_name(record.lease), encode_record(record));
+}
 
 }  // namespace flintweir::node
--- a/src/node/promise_store.h
+++ b/src/node/promise_store.h
@@ -1,5 +1,6 @@
-// A voter's promises on disk: a file for each lease, written beside it, synced, renamed into place and synced
-// again before save() returns true, so that it is found old or new and never in part.
+// Stores the promises of a lease voter on disk, in one file for each lease. A new version is written to a
+// temporary file, synced and renamed, and then the directory is synced before save() returns true. So after a
+// crash the file holds the old or the new version, never part of one.
 #pragma once
 
 #include <optional>
@@ -10,13 +11,14 @@
 
 namespace flintweir::node {
 
-// What it needs of the disk; each call may fail. Files are named within the folder.
+// File operations on one directory. Each may fail: those that return bool then
+// return false, read() returns nothing, and file_names() throws std::runtime_error.
 class Directory {
  public:
   virtual ~Directory() = default;
-  virtual bool write(const std::string& name, std::string_view bytes) = 0;  // and syncs it
+  virtual bool write(const std::string& name, std::string_view bytes) = 0;  // and syncs the file
   virtual bool rename(const std::string& from, const std::string& to) = 0;
-  virtual bool sync() = 0;
+  virtual bool sync() = 0;  // the directory itself
   virtual std::optional<std::string> read(const std::string& name) = 0;
   virtual std::vector<std::string> file_names() = 0;
 };
@@ -36,16 +38,18 @@
 
 class PromiseStore final : public leases::VoterStorage {
  public:
-  // Throws std::runtime_error where the folder is another voter's or can't be read or written.
-  PromiseStore(Directory& disk, const std::string& voter);
-  // Nothing where the folder is new: what was promised before, if anything was, is not known.
-  const std::optional<std::vector<Record>>& loaded() const { return kept_; }
+  // Throws std::runtime_error if the directory belongs to another voter, holds a corrupted file, or cannot be
+  // read or written. `directory` has to outlive the store.
+  PromiseStore(Directory& directory, const std::string& voter);
+  // The records found at the start. Unset if the directory was new: then it is unknown whether this voter has
+  // made promises before.
+  const std::optional<std::vector<Record>>& loaded() const { return loaded_; }
   bool save(const Record& record) override;
 
  private:
-  bool put(const std::string& name, const std::string& text);
-  Directory& disk_;
-  std::optional<std::vector<Record>> kept_;
+  bool replace_file(const std::string& name, const std::string& text);
+  Directory& directory_;
+  std::optional<std::vector<Record>> loaded_;
 };
 
 }  // namespace flintweir::node
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -106,7 +106,7 @@
   "      --(*it)->second.sends;" ""
   "kBytesPerSecond = 64 << 10" "kBytesPerSecond = 64 << 20" "kBytesKept = 16 << 10" "kBytesKept = 16 << 20")
 flintweir_flaw(verdict-not-logged members view-log src/node/fleet_member.cpp
-  "  log_line(\"member name" "  if (now.state != members::MemberState::failed) log_line(\"member name")
+  "  log_line(\"member name" "  if (member.state != members::MemberState::failed) log_line(\"member name")
 
 # Leases.
 flintweir_flaw(voter-forgets search two-hold src/leases/voter.cpp
