--- a/src/node/lease_holder.h
+++ b/src/node/lease_holder.h
@@ -1,5 +1,5 @@
-// A would-be holder of one lease, beside the nodes: finds the voters by the view of a node that it knows,
-// asks them, and tells whether it holds.
+// Acquires and holds one lease from a process that is not a node: finds the voters through the membership
+// view of a node, sends them the requests of a leases::Candidate, and reports whether the lease is held.
 #pragma once
 
 #include <deque>
@@ -17,16 +17,18 @@
 
 namespace flintweir::node {
 
-// Where the voters are, as a node's view has it. Views are asked for until all are known, and now and then.
+// The addresses of the voters of a set, as found in the membership view of a node.
 class VoterAddresses {
  public:
   VoterAddresses(net::Network& network, const setup::FleetSection& fleet, std::vector<std::string> voters,
                  std::uint64_t seed);
-  void ask();                                                  // the next node that may answer
-  bool received(const Address& from, std::string_view bytes);  // whether it was a part of a view
-  const Address* of(std::size_t voter) const;
-  std::optional<std::size_t> named(std::string_view name) const;
-  bool all() const { return known_.size() == voters_.size(); }
+  // Queries the next node of this node's address and the seeds, in turn.
+  void query_next_node();
+  // Handles a datagram. Returns false if it is not from the queried node.
+  bool on_datagram(const Address& from, std::string_view bytes);
+  const Address* find(std::size_t voter) const;  // null if not known yet
+  std::optional<std::size_t> index_of(std::string_view voter_name) const;
+  bool all_known() const { return known_.size() == voters_.size(); }
   const std::vector<std::string>& voters() const { return voters_; }
 
  private:
@@ -34,15 +36,16 @@
   std::vector<Address> nodes_;
   std::vector<std::string> voters_;
   std::map<std::size_t, Address> known_;
-  std::size_t next_ = 0;
-  std::uint64_t nonces_;
-  Address asked_;
-  members::ViewQuery asker_{0};
+  std::size_t next_node_ = 0;
+  std::uint64_t query_seed_;
+  Address queried_;
+  members::ViewQuery query_{0};
 };
 
-// All that waits: what is said of leases to the one, views to the other; then waits for more.
-void receive_datagrams(net::Network& network, net::DatagramEvents& whom, leases::DatagramHandler& hearer,
-                       VoterAddresses& places);
+// Receives all pending datagrams and passes those about leases to `handler`, all others to `voters`. Then
+// waits for more, which are reported to `events`.
+void receive_datagrams(net::Network& network, net::DatagramEvents& events, leases::DatagramHandler& handler,
+                       VoterAddresses& voters);
 
 class LeaseHolder final : net::DatagramEvents,
                           net::TimerEvents,
@@ -53,41 +56,44 @@
    public:
     virtual void lease_acquired(leases::Token token) = 0;
     virtual void lease_lost(leases::Token token, std::string_view why) = 0;
-    virtual void lease_awaited(std::string_view why) = 0;
+    virtual void lease_awaited(std::string_view why) = 0;  // why it is not held; for each new reason
 
    protected:
     ~Events() = default;
   };
-  // `who`: its name and start. `here`: where it hears; `told`: what voters answer to, the same if left out.
-  LeaseHolder(net::Network& network, net::TimerQueue& timers, const setup::OperatorFile& own,
-              std::string lease, std::string who, const Address& here, std::optional<Address> told,
-              std::uint64_t seed, Events& whom);
-  void start();  // throws std::system_error where it can't have its address
+  // `participant` is a name that no other process uses, now or later: a name and the start time. Datagrams
+  // are received at `local`; voters reply to `advertised`, or to `local` if that is unset.
+  LeaseHolder(net::Network& network, net::TimerQueue& timers, const setup::OperatorFile& operator_file,
+              std::string lease, std::string participant, const Address& local,
+              std::optional<Address> advertised, std::uint64_t seed, Events& events);
+  // Throws std::system_error if the local address cannot be opened.
+  void start();
+  // Gives the lease back, or stops trying to acquire it.
   void release();
-  // Of a lease that is held, by the clock now; looks whether it is.
+  // How long the lease is still held by the present time; zero if it is not.
   Micros time_left();
 
  private:
-  enum Due : std::uint64_t { look_for_voters = ~0ull };
+  enum Timer : std::uint64_t { find_voters = ~0ull };  // all other timers belong to the candidate
   void datagram_pending() override;
   void timer_expired(std::uint64_t token) override;
   void send_request(leases::VoterIndex voter, const leases::Request& request) override;
   void set_timer(Micros delay, TimerId timer) override { timers_.schedule(delay, *this, timer.value); }
-  void on_acquired(leases::Token token) override { whom_.lease_acquired(token); }
-  void on_lost(leases::Token token, std::string_view why) override { whom_.lease_lost(token, why); }
-  void on_waiting(std::string_view why) override { whom_.lease_awaited(why); }
+  void on_acquired(leases::Token token) override { events_.lease_acquired(token); }
+  void on_lost(leases::Token token, std::string_view why) override { events_.lease_lost(token, why); }
+  void on_waiting(std::string_view why) override { events_.lease_awaited(why); }
   void on_reply(const leases::Sender& from, const leases::Reply& reply) override;
-  leases::Candidate& seeker();  // at the present time
+  leases::Candidate& candidate();  // with its time set
 
   net::Network& network_;
   net::TimerQueue& timers_;
-  std::string who_;
-  Address here_;
-  std::optional<Address> told_;
-  std::uint64_t set_;
-  Events& whom_;
-  VoterAddresses places_;
-  leases::Candidate seeker_;
+  std::string participant_;
+  Address local_;
+  std::optional<Address> advertised_;
+  std::uint64_t voter_set_;
+  Events& events_;
+  VoterAddresses voters_;
+  leases::Candidate candidate_;
 };
 
 }  // namespace flintweir::node
