--- a/src/change_command.cpp
+++ b/src/change_command.cpp
@@ -17,53 +17,57 @@
 using changes::ChangeNumber;
 using changes::Status;
 
-// Says what it has to whoever asks, and asks for what others have.
-class Client : public net::DatagramEvents, public changes::MessageHandler {
+// Sends a change to the nodes that request it, and collects the status of nodes.
+class ChangeClient : public net::DatagramEvents, public changes::MessageHandler {
  public:
-  Client(Address here, std::string fleet) : fleet_(std::move(fleet)) {
-    here.port = 0;
-    here_ = network_.open_datagrams(here);
+  ChangeClient(Address local, std::string fleet) : fleet_(std::move(fleet)) {
+    local.port = 0;  // a free one
+    local_ = network_.open_datagrams(local);
     network_.wait_datagram(*this);
   }
-  changes::Sender me() const { return {fleet_, "flintweir-change", here_}; }
+  changes::Sender sender() const { return {fleet_, "flintweir-change", local_}; }
   void send(const Address& to, const std::string& bytes) { network_.send_datagram(to, bytes); }
-  // Until done() or the time is over.
+  // Waits until done() returns true, at most for `duration`. Returns the result of done().
   template <class Done>
-  bool wait(Micros in, Done done) {
-    for (const Micros until = network_.now() + in; !done() && network_.now() < until;)
+  bool wait(Micros duration, Done done) {
+    for (const Micros until = network_.now() + duration; !done() && network_.now() < until;)
       network_.run_for(until - network_.now());
     return done();
   }
-  void hold(Change change) { change_ = std::move(change); }
+  void set_change(Change change) { change_ = std::move(change); }
   void datagram_pending() override {
     char bytes[changes::kMaxDatagramBytes + 1];
     for (;;) {
-      const auto got = network_.receive(bytes, sizeof bytes);
-      if (got.status == net::IoStatus::would_block) break;
-      came_from_ = got.from;
-      if (got.status == net::IoStatus::done) changes::decode({bytes, got.bytes}, fleet_, *this);
+      const auto received = network_.receive(bytes, sizeof bytes);
+      if (received.status == net::IoStatus::would_block) break;
+      received_from_ = received.from;
+      if (received.status == net::IoStatus::done) changes::decode({bytes, received.bytes}, fleet_, *this);
     }
     network_.wait_datagram(*this);
     network_.stop();
   }
-  void on_want(const changes::Sender&, const changes::ChangeId& of, std::uint32_t wanted) override {
-    if (of != change_id(change_)) return;
-    for (const std::string& one : changes::encode_parts(me(), change_, wanted)) send(came_from_, one);
+  void on_want(const changes::Sender&, const changes::ChangeId& id, std::uint32_t parts) override {
+    if (id != change_id(change_)) return;
+    for (const std::string& part : changes::encode_parts(sender(), change_, parts))
+      send(received_from_, part);
   }
   void on_status(const changes::Sender& from, std::uint64_t nonce, const Status& status) override {
     statuses[nonce] = {std::string(from.name), status};
   }
-  std::map<std::uint64_t, std::pair<std::string, Status>> statuses;  // by the question's number
+  std::map<std::uint64_t, std::pair<std::string, Status>> statuses;  // by the nonce of the query
 
  private:
   net::KernelNetwork network_;
-  // Where the datagram at hand came from: a node may tell others an address that only they can use.
-  Address here_, came_from_;
+  Address local_;
+  // The source of the current datagram. Replies go there, because the address that a node advertises may be
+  // reachable only from other nodes.
+  Address received_from_;
   std::string fleet_;
   Change change_;
 };
 
-std::string json_text(std::string_view text) {
+// Escapes quotes and backslashes for JSON and drops control characters.
+std::string json_escaped(std::string_view text) {
   std::string out;
   for (const char c : text)
     if (static_cast<unsigned char>(c) >= 0x20)
@@ -73,89 +77,91 @@
 
 }  // namespace
 
-int change_put(const setup::OperatorFile& own, const std::string& path, std::uint64_t number,
-               const Address& at) {
+int change_put(const setup::OperatorFile& operator_file, const std::string& path, std::uint64_t number,
+               const Address& node) {
   std::ifstream in(path);
   std::ostringstream text;
   text << in.rdbuf();
-  if (!in) return std::fprintf(stderr, "flintweir: %s: can't be read\n", path.c_str()), kChangeRefused;
+  if (!in) return std::fprintf(stderr, "flintweir: %s: cannot be read\n", path.c_str()), kChangeRefused;
   Change change{ChangeNumber{number}, text.str()};
-  std::vector<std::string> wrong;
+  std::vector<std::string> errors;
   if (change.text.size() > changes::kMaxTextBytes)
-    wrong.push_back(path + ": is over " + std::to_string(changes::kMaxTextBytes) + " bytes");
+    errors.push_back(path + ": is longer than " + std::to_string(changes::kMaxTextBytes) + " bytes");
   else
-    setup::ConfigChange::parse(change.text, path, wrong);
-  for (const std::string& line : wrong) std::fprintf(stderr, "flintweir: %s\n", line.c_str());
-  if (!wrong.empty()) return kChangeRefused;
+    setup::ConfigChange::parse(change.text, path, errors);
+  for (const std::string& error : errors) std::fprintf(stderr, "flintweir: %s\n", error.c_str());
+  if (!errors.empty()) return kChangeRefused;
 
-  Client client(own.fleet->address, own.fleet->name);
-  const changes::ChangeId ours = change_id(change);
-  client.hold(std::move(change));
+  ChangeClient client(operator_file.fleet->address, operator_file.fleet->name);
+  const changes::ChangeId id = change_id(change);
+  client.set_change(std::move(change));
   std::uint64_t nonce = 0;
-  for (int tries = 0; tries < 25; ++tries) {
-    client.send(at, encode_have(client.me(), {ours, {}}));
-    client.send(at, encode_query(client.me(), ++nonce));
+  for (int attempt = 0; attempt < 25; ++attempt) {
+    client.send(node, encode_have(client.sender(), {id, {}}));
+    client.send(node, encode_query(client.sender(), ++nonce));
     if (!client.wait(200ms, [&] { return client.statuses.contains(nonce); })) continue;
     const auto& [name, status] = client.statuses.at(nonce);
-    if (status.held.newest > ours) {
-      std::fprintf(stderr, "flintweir: %s has change %llu, which is later\n", name.c_str(),
+    if (status.held.newest > id) {
+      std::fprintf(stderr, "flintweir: %s already has change %llu, which is newer\n", name.c_str(),
                    static_cast<unsigned long long>(status.held.newest.number.value));
       return kChangeOlder;
     }
-    if (status.held.newest != ours) {
+    if (status.held.newest != id) {
       client.wait(50ms, [] { return false; });
       continue;
     }
     if (!status.reason.empty()) {
-      std::fprintf(stderr, "flintweir: %s refuses change %llu: %s\n", name.c_str(),
+      std::fprintf(stderr, "flintweir: %s refused change %llu: %s\n", name.c_str(),
                    static_cast<unsigned long long>(number), status.reason.c_str());
       return kChangeRefused;
     }
-    std::printf("change %llu is in force at %s and on its way\n", static_cast<unsigned long long>(number),
-                name.c_str());
+    std::printf("change %llu is in force at %s and is being distributed\n",
+                static_cast<unsigned long long>(number), name.c_str());
     return 0;
   }
-  std::fprintf(stderr, "flintweir: nobody at %s takes changes\n", to_text(at).c_str());
+  std::fprintf(stderr, "flintweir: no node at %s accepts changes\n", to_text(node).c_str());
   return kChangeNoAnswer;
 }
 
-int change_show(const Address& at, bool json) {
-  ViewClient members(at);
-  const members::ViewQuery* const view = members.ask();
+int change_show(const Address& node, bool json) {
+  ViewClient view_client(node);
+  const members::ViewQuery* const view = view_client.query();
   if (!view)
-    return std::fprintf(stderr, "flintweir: nobody answers at %s\n", to_text(at).c_str()), kChangeNoAnswer;
-  Client client(at, "");
-  std::map<std::uint64_t, const members::ViewQuery::Row*> asked;
+    return std::fprintf(stderr, "flintweir: no response from %s\n", to_text(node).c_str()), kChangeNoAnswer;
+  ChangeClient client(node, "");
+  std::map<std::uint64_t, const members::ViewQuery::Row*> queried;
   std::uint64_t nonce = 0;
   for (const auto& row : view->rows())
     if (row.state == members::MemberState::alive || row.state == members::MemberState::suspected ||
         row.state == members::MemberState::joining)
-      asked[++nonce] = &row;
-  for (int tries = 0; tries < 3; ++tries) {
-    for (const auto& [no, row] : asked)
-      if (!client.statuses.contains(no)) client.send(row->address, encode_query(client.me(), no));
-    if (client.wait(500ms, [&] { return client.statuses.size() == asked.size(); })) break;
+      queried[++nonce] = &row;
+  for (int attempt = 0; attempt < 3; ++attempt) {
+    for (const auto& [query, row] : queried)
+      if (!client.statuses.contains(query)) client.send(row->address, encode_query(client.sender(), query));
+    if (client.wait(500ms, [&] { return client.statuses.size() == queried.size(); })) break;
   }
   changes::ChangeId newest;
-  for (const auto& [no, s] : client.statuses) newest = std::max(newest, s.second.held.newest);
+  for (const auto& [query, response] : client.statuses)
+    newest = std::max(newest, response.second.held.newest);
   std::string out;
-  bool all = true;
+  bool all_in_force = true;
   char line[700];
-  for (const auto& [no, row] : asked) {
-    const auto it = client.statuses.find(no);
-    const Status s = it == client.statuses.end() ? Status() : it->second.second;
-    const char* const is = it == client.statuses.end() ? "silent"
-                           : !s.reason.empty()         ? "refused"
-                           : s.held.newest != newest   ? "behind"
-                                                       : "in-force";
-    all = all && it != client.statuses.end() && s.reason.empty() && s.held.newest == newest;
+  for (const auto& [query, row] : queried) {
+    const auto it = client.statuses.find(query);
+    const Status status = it == client.statuses.end() ? Status() : it->second.second;
+    const char* const state = it == client.statuses.end()    ? "silent"
+                              : !status.reason.empty()       ? "refused"
+                              : status.held.newest != newest ? "behind"
+                                                             : "in-force";
+    all_in_force =
+        all_in_force && it != client.statuses.end() && status.reason.empty() && status.held.newest == newest;
     std::snprintf(line, sizeof line,
                   json ? "%s{\"name\":\"%s\",\"newest\":%llu,\"in_force\":%llu,\"is\":\"%s\",\"why\":\"%s\"}"
                        : "%s%-24s %20llu %20llu %-10s %s\n",
                   json && !out.empty() ? "," : "", row->name.c_str(),
-                  static_cast<unsigned long long>(s.held.newest.number.value),
-                  static_cast<unsigned long long>(s.held.in_force.number.value), is,
-                  json ? json_text(s.reason).c_str() : s.reason.c_str());
+                  static_cast<unsigned long long>(status.held.newest.number.value),
+                  static_cast<unsigned long long>(status.held.in_force.number.value), state,
+                  json ? json_escaped(status.reason).c_str() : status.reason.c_str());
     out += line;
   }
   if (json)
@@ -163,7 +169,7 @@
                 out.c_str());
   else
     std::printf("%-24s %20s %20s %-10s %s\n%s", "NAME", "NEWEST", "IN FORCE", "IS", "WHY", out.c_str());
-  return all ? 0 : 1;
+  return all_in_force ? 0 : 1;
 }
 
 }  // namespace flintweir
--- a/src/lease_command.cpp
+++ b/src/lease_command.cpp
@@ -23,44 +23,48 @@
 using namespace std::chrono_literals;
 using leases::Token;
 
-// Shares of a lease's length that are left when the command is told to end, and is ended.
-constexpr int kTerm = 4, kKill = 8, kLooks = 32;
+// Divisors of a lease's length: the command gets SIGTERM when less than the first fraction is left and
+// SIGKILL when less than the second is. The time left is checked at intervals of the third.
+constexpr int kTermDivisor = 4, kKillDivisor = 8, kCheckDivisor = 32;
 
 std::uint64_t random_seed() { return std::random_device()() | std::uint64_t{std::random_device()()} << 32; }
 
-Address beside(const Address& node) {
+// A free port on the IP address of a node.
+Address free_port_on(const Address& node) {
   Address out = node;
   out.port = 0;
   return out;
 }
 
-class Hold final : node::LeaseHolder::Events, net::TimerEvents {
+// Runs a command while holding a lease.
+class LeasedCommand final : node::LeaseHolder::Events, net::TimerEvents {
  public:
-  Hold(const setup::OperatorFile& own, const std::string& lease, const Address& from,
-       std::optional<Address> told, const std::vector<std::string>& command)
-      : length_(own.leases->length),
+  LeasedCommand(const setup::OperatorFile& operator_file, const std::string& lease, const Address& local,
+                std::optional<Address> advertised, const std::vector<std::string>& command)
+      : length_(operator_file.leases->length),
         command_(command),
         lease_(lease),
-        holder_(network_, timers_, own, lease,
-                "hold-" + std::to_string(getpid()) + '/' + std::to_string(network_.now().count()), from, told,
-                random_seed(), *this) {}
+        holder_(network_, timers_, operator_file, lease,
+                "hold-" + std::to_string(getpid()) + '/' + std::to_string(network_.now().count()), local,
+                advertised, random_seed(), *this) {}
 
   int run() {
     holder_.start();
-    network_.handle_signals({SIGTERM, SIGINT, SIGCHLD},
-                            [this](int number) { number == SIGCHLD ? reap() : end_by(number); });
+    network_.handle_signals({SIGTERM, SIGINT, SIGCHLD}, [this](int signal) {
+      signal == SIGCHLD ? reap_command() : stop_command(signal);
+    });
     network_.run();
     return status_;
   }
 
  private:
   void lease_acquired(Token token) override {
-    // Guards against a second command beside one that was told to end and has not yet.
+    // The previous command has been told to end but is still running: must not start a second one.
     if (child_ != 0) return holder_.release();
     net::log_line("lease: held name=%s token=%llu", lease_.c_str(),
                   static_cast<unsigned long long>(token.value));
-    start(token);
-    timers_.schedule(length_ / kLooks, *this, 0);
+    start_command(token);
+    timers_.schedule(length_ / kCheckDivisor, *this, 0);
   }
   void lease_lost(Token token, std::string_view why) override {
     net::log_line("lease: lost name=%s token=%llu why=\"%.*s\"", lease_.c_str(),
@@ -74,8 +78,8 @@
                   why.data());
   }
 
-  // The command has a group of its own, and ends with this process, however that ends.
-  void start(Token token) {
+  // The command runs in a process group of its own. It is killed if this process ends in any way.
+  void start_command(Token token) {
     const pid_t parent = getpid();
     child_ = fork();
     if (child_ < 0) {
@@ -89,44 +93,44 @@
     if (getppid() != parent) _exit(127);
     setenv("FLINTWEIR_TOKEN", std::to_string(token.value).c_str(), 1);
     setenv("FLINTWEIR_LEASE", lease_.c_str(), 1);
-    std::vector<char*> words;
-    for (const std::string& w : command_) words.push_back(const_cast<char*>(w.c_str()));
-    words.push_back(nullptr);
-    execvp(words[0], words.data());
-    std::fprintf(stderr, "flintweir: %s: %s\n", words[0], std::strerror(errno));
+    std::vector<char*> arguments;
+    for (const std::string& argument : command_) arguments.push_back(const_cast<char*>(argument.c_str()));
+    arguments.push_back(nullptr);
+    execvp(arguments[0], arguments.data());
+    std::fprintf(stderr, "flintweir: %s: %s\n", arguments[0], std::strerror(errno));
     _exit(127);
   }
 
-  // Looks how much is left: the command has ended before another may begin.
-  void timer_expired(std::uint64_t what) override {
+  // Checks how much time is left. The command has to end before another process may acquire the lease.
+  void timer_expired(std::uint64_t timer) override {
     if (child_ == 0) return;
-    if (what == kEndsNow) return void(kill(-child_, SIGKILL));
+    if (timer == kKillTimer) return void(kill(-child_, SIGKILL));
     const Micros left = holder_.time_left();
-    if (child_ != 0 && left < length_ / kTerm && !std::exchange(told_to_end_, true)) {
+    if (child_ != 0 && left < length_ / kTermDivisor && !std::exchange(term_sent_, true)) {
       net::log_line("lease: not renewed name=%s left_ms=%lld; ending the command", lease_.c_str(),
                     static_cast<long long>(left.count() / 1000));
       lost_ = true;
       kill(-child_, SIGTERM);
     }
-    if (child_ != 0 && left < length_ / kKill) kill(-child_, SIGKILL);
-    timers_.schedule(length_ / kLooks, *this, 0);
+    if (child_ != 0 && left < length_ / kKillDivisor) kill(-child_, SIGKILL);
+    timers_.schedule(length_ / kCheckDivisor, *this, 0);
   }
 
-  void reap() {
+  void reap_command() {
     int status = 0;
     if (child_ == 0 || waitpid(child_, &status, WNOHANG) != child_) return;
-    kill(-child_, SIGKILL);  // what it has left behind acts no more
+    kill(-child_, SIGKILL);  // ends processes that the command has left in its group
     child_ = 0;
-    const int own = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-    net::log_line("lease: command ended status=%d", own);
-    finish(lost_ ? kLostLease : own);
+    const int command_status = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+    net::log_line("lease: command ended status=%d", command_status);
+    finish(lost_ ? kLostLease : command_status);
   }
 
-  void end_by(int number) {
-    if (child_ == 0) return finish(128 + number);
-    kill(-child_, number);
-    // Whoever does not end within that is ended.
-    timers_.schedule(length_ / 2, *this, kEndsNow);
+  void stop_command(int signal) {
+    if (child_ == 0) return finish(128 + signal);
+    kill(-child_, signal);
+    // Kills the command if it does not end in time.
+    timers_.schedule(length_ / 2, *this, kKillTimer);
   }
 
   void finish(int status) {
@@ -135,7 +139,7 @@
     network_.stop();
   }
 
-  static constexpr std::uint64_t kEndsNow = 1;
+  static constexpr std::uint64_t kKillTimer = 1;
   net::KernelNetwork network_;
   net::TimerQueue timers_{network_};
   Micros length_;
@@ -143,102 +147,106 @@
   std::string lease_;
   pid_t child_ = 0;
   int status_ = 0;
-  bool told_to_end_ = false, lost_ = false;
+  bool term_sent_ = false, lost_ = false;
   node::LeaseHolder holder_;
 };
 
-// Asks all voters for what they have granted.
-class Look final : net::DatagramEvents, leases::DatagramHandler {
+// Queries all voters for the leases they have granted.
+class LeaseQuery final : net::DatagramEvents, leases::DatagramHandler {
  public:
-  explicit Look(const setup::OperatorFile& own)
-      : own_(own), places_(network_, *own.fleet, own.leases->voters, random_seed()) {
-    here_ = network_.open_datagrams(beside(own.fleet->address));
+  explicit LeaseQuery(const setup::OperatorFile& operator_file)
+      : operator_file_(operator_file),
+        voters_(network_, *operator_file.fleet, operator_file.leases->voters, random_seed()) {
+    local_ = network_.open_datagrams(free_port_on(operator_file.fleet->address));
     network_.wait_datagram(*this);
   }
-  // Whether a majority has answered.
+  // Returns whether a majority of the voters has responded.
   bool run() {
-    for (int round = 0; round < 5 && 2 * whole_.size() <= own_.leases->voters.size(); ++round) {
-      if (!places_.all()) places_.ask();
+    for (int round = 0; round < 5 && 2 * complete_.size() <= operator_file_.leases->voters.size(); ++round) {
+      if (!voters_.all_known()) voters_.query_next_node();
       wait(150ms);
-      for (std::size_t v = 0; v < own_.leases->voters.size(); ++v)
-        if (!whole_.contains(v)) ask(v, after_[v]);
+      for (std::size_t v = 0; v < operator_file_.leases->voters.size(); ++v)
+        if (!complete_.contains(v)) query(v, last_lease_[v]);
       wait(250ms);
     }
-    return 2 * whole_.size() > own_.leases->voters.size();
+    return 2 * complete_.size() > operator_file_.leases->voters.size();
   }
+  // The state of a lease, by the largest token that any voter has granted.
   struct Row {
     std::string holder;
     std::uint64_t token = 0;
     Micros left{0};
-    unsigned waiting = 0, voters = 0;
+    unsigned waiting = 0, voters = 0;  // voters: that have granted this token
   };
   const std::map<std::string, Row>& rows() const { return rows_; }
 
  private:
-  void wait(Micros in) {
-    for (const Micros until = network_.now() + in;
-         network_.now() < until && whole_.size() < own_.leases->voters.size();)
+  void wait(Micros duration) {
+    for (const Micros until = network_.now() + duration;
+         network_.now() < until && complete_.size() < operator_file_.leases->voters.size();)
       network_.run_for(until - network_.now());
   }
-  void ask(std::size_t voter, std::string_view after) {
-    const Address* const at = places_.of(voter);
-    if (!at) return;
-    leases::DatagramWriter writer(leases::DatagramWriter::Kind::requests, {0, "look", here_});
+  void query(std::size_t voter, std::string_view after) {
+    const Address* const address = voters_.find(voter);
+    if (!address) return;
+    leases::DatagramWriter writer(leases::DatagramWriter::Kind::requests, {0, "look", local_});
     writer.add(leases::Request{leases::RequestKind::query, after, {}, {}, 0us});
-    network_.send_datagram(*at, writer.finish());
+    network_.send_datagram(*address, writer.finish());
   }
   void datagram_pending() override {
-    node::receive_datagrams(network_, *this, *this, places_);
+    node::receive_datagrams(network_, *this, *this, voters_);
     network_.stop();
   }
-  void on_lease_status(const leases::Sender& from, const leases::LeaseStatus& s) override {
-    const auto voter = places_.named(from.name);
-    if (!voter || whole_.contains(*voter)) return;
-    after_[*voter] = s.lease;
-    Row& row = rows_[std::string(s.lease)];
-    row.waiting = std::max(row.waiting, s.waiting);
-    if (s.token.value < row.token || s.holder.empty()) return;
-    if (s.token.value > row.token) row.voters = 0;
-    row.holder = s.holder, row.token = s.token.value, row.left = std::max(row.left, s.remaining);
+  void on_lease_status(const leases::Sender& from, const leases::LeaseStatus& status) override {
+    const auto voter = voters_.index_of(from.name);
+    if (!voter || complete_.contains(*voter)) return;
+    last_lease_[*voter] = status.lease;
+    Row& row = rows_[std::string(status.lease)];
+    row.waiting = std::max(row.waiting, status.waiting);
+    if (status.token.value < row.token || status.holder.empty()) return;
+    if (status.token.value > row.token) row.voters = 0;
+    row.holder = status.holder, row.token = status.token.value,
+    row.left = std::max(row.left, status.remaining);
     ++row.voters;
   }
   void on_status_page(const leases::Sender& from, bool last) override {
-    const auto voter = places_.named(from.name);
-    if (!voter || whole_.contains(*voter)) return;
-    last ? void(whole_.insert(*voter)) : ask(*voter, after_[*voter]);
+    const auto voter = voters_.index_of(from.name);
+    if (!voter || complete_.contains(*voter)) return;
+    last ? void(complete_.insert(*voter)) : query(*voter, last_lease_[*voter]);
   }
 
-  const setup::OperatorFile& own_;
+  const setup::OperatorFile& operator_file_;
   net::KernelNetwork network_;
-  Address here_;
-  node::VoterAddresses places_;
-  std::map<std::size_t, std::string> after_;
-  std::set<std::size_t> whole_;
+  Address local_;
+  node::VoterAddresses voters_;
+  std::map<std::size_t, std::string> last_lease_;  // received from each voter
+  std::set<std::size_t> complete_;                 // voters that have sent all their leases
   std::map<std::string, Row> rows_;
 };
 
 }  // namespace
 
-int lease_hold(const setup::OperatorFile& own, const std::string& lease, const std::string& from,
-               const std::string& told, const std::vector<std::string>& command) {
-  Address here = beside(own.fleet->address);
-  if (!from.empty()) here = parse_address(from).value_or(here);
-  Hold hold(own, lease, here, told.empty() ? std::nullopt : parse_address(told), command);
-  return hold.run();
+int lease_hold(const setup::OperatorFile& operator_file, const std::string& lease, const std::string& local,
+               const std::string& advertised, const std::vector<std::string>& command) {
+  Address local_address = free_port_on(operator_file.fleet->address);
+  if (!local.empty()) local_address = parse_address(local).value_or(local_address);
+  LeasedCommand leased_command(operator_file, lease, local_address,
+                               advertised.empty() ? std::nullopt : parse_address(advertised), command);
+  return leased_command.run();
 }
 
-int lease_list(const setup::OperatorFile& own, const std::string& lease, bool json) {
-  Look look(own);
-  if (!look.run()) {
-    std::fprintf(stderr, "flintweir: no majority of the voters answers\n");
+int lease_list(const setup::OperatorFile& operator_file, const std::string& lease, bool json) {
+  LeaseQuery query(operator_file);
+  if (!query.run()) {
+    std::fprintf(stderr, "flintweir: no majority of the voters responds\n");
     return kNoAnswer;
   }
   std::string out;
   bool found = lease.empty();
-  for (const auto& [name, row] : look.rows()) {
+  for (const auto& [name, row] : query.rows()) {
     if (!lease.empty() && name != lease) continue;
     found = true;
-    const bool held = 2 * row.voters > own.leases->voters.size();
+    const bool held = 2 * row.voters > operator_file.leases->voters.size();
     char text[400];
     std::snprintf(text, sizeof text,
                   json
--- a/src/view_client.h
+++ b/src/view_client.h
@@ -1,4 +1,4 @@
-// Asks one node for its view of the fleet, as somebody who is no member: each question up to three times.
+// Requests the membership view of one node from a process that is not a member of the fleet.
 #pragma once
 
 #include <optional>
@@ -10,45 +10,46 @@
 
 class ViewClient final : net::DatagramEvents {
  public:
-  explicit ViewClient(const Address& at) : at_(at) {
-    Address here;
-    here.is_v6 = at.is_v6;
-    network_.open_datagrams(here);
+  explicit ViewClient(const Address& node) : node_(node) {
+    Address local;
+    local.is_v6 = node.is_v6;
+    network_.open_datagrams(local);
     network_.wait_datagram(*this);
   }
-  // Nothing: nobody answers, or not to the end.
-  const members::ViewQuery* ask() {
+  // Blocks until the whole view is received. Sends each request up to three times, and returns null if one of
+  // them gets no response. The result is valid until the next call.
+  const members::ViewQuery* query() {
     using namespace std::chrono_literals;
-    asker_.emplace(static_cast<std::uint64_t>(network_.now().count()));
-    whole_ = false;
-    for (int silent = 0; silent < 3 && !whole_; ++silent) {
+    query_.emplace(static_cast<std::uint64_t>(network_.now().count()));
+    complete_ = false;
+    for (int unanswered = 0; unanswered < 3 && !complete_; ++unanswered) {
       answered_ = false;
-      network_.send_datagram(at_, asker_->next_request());
+      network_.send_datagram(node_, query_->next_request());
       const auto until = network_.now() + 500ms;
       while (!answered_ && network_.now() < until) network_.run_for(until - network_.now());
-      if (answered_) silent = -1;
+      if (answered_) unanswered = -1;
     }
-    return whole_ ? &*asker_ : nullptr;
+    return complete_ ? &*query_ : nullptr;
   }
 
  private:
   void datagram_pending() override {
     char bytes[members::kMaxDatagramBytes + 1];
     for (;;) {
-      const auto got = network_.receive(bytes, sizeof bytes);
-      if (got.status == net::IoStatus::would_block) break;
-      if (got.status != net::IoStatus::done || got.from != at_) continue;
+      const auto received = network_.receive(bytes, sizeof bytes);
+      if (received.status == net::IoStatus::would_block) break;
+      if (received.status != net::IoStatus::done || received.from != node_) continue;
       answered_ = true;
-      whole_ = asker_->received({bytes, got.bytes}) || whole_;
+      complete_ = query_->received({bytes, received.bytes}) || complete_;
     }
     network_.wait_datagram(*this);
     network_.stop();
   }
 
   net::KernelNetwork network_;
-  Address at_;
-  bool answered_ = false, whole_ = false;
-  std::optional<members::ViewQuery> asker_;
+  Address node_;
+  bool answered_ = false, complete_ = false;
+  std::optional<members::ViewQuery> query_;
 };
 
 }  // namespace flintweir
