--- a/src/main.cpp
+++ b/src/main.cpp
@@ -26,25 +26,25 @@
 constexpr const char* kHelp =
     "usage: flintweir COMMAND [--config FILE] [--operator FILE]\n"
     "\n"
-    "  serve      run a node until SIGTERM; SIGHUP reads its files again\n"
-    "  check      read the files given as serve would, and say all that is wrong\n"
-    "  members    ask the node at --at ADDRESS (its fleet.address) for its view of the fleet\n"
-    "  change     put FILE: gives the fleet a change of configuration; show: which node has which\n"
-    "  lease      hold NAME -- COMMAND: run it while holding the lease; list, show NAME: who holds what\n"
+    "  serve      run a node until SIGTERM; SIGHUP reloads its files\n"
+    "  check      validate the files as serve would, and report all errors\n"
+    "  members    print the view of the fleet that the node at --at ADDRESS (its fleet.address) has\n"
+    "  change     put FILE: publish a configuration change; show: print each node's change in force\n"
+    "  lease      hold NAME -- COMMAND: run it while holding the lease; list, show NAME: print holders\n"
     "  version    print the version\n"
     "  help       print this\n"
     "\n"
-    "  -c, --config FILE     the configuration; without it the file that EDGE_CONFIG names\n"
-    "  -o, --operator FILE   the operator's file; without it the one that EDGE_OPERATOR names, if any\n"
+    "  -c, --config FILE     the configuration; default: the file that EDGE_CONFIG names\n"
+    "  -o, --operator FILE   the operator's file; default: the one that EDGE_OPERATOR names, if any\n"
     "\n"
-    "  members: --json prints one object, --watch goes on each second; ends with 3 where nobody answers\n";
+    "  members: --json prints one JSON object, --watch repeats each second; exit status 3: no response\n";
 
-int wrong_use(const std::string& what) {
-  std::fprintf(stderr, "flintweir: %s (see 'flintweir help')\n", what.c_str());
+int usage_error(const std::string& message) {
+  std::fprintf(stderr, "flintweir: %s (see 'flintweir help')\n", message.c_str());
   return 2;
 }
 
-// The soft limit of descriptors is often far under what the configuration allows.
+// Raises the soft limit of descriptors, which is often far below what the configuration allows.
 void raise_descriptor_limit() {
   rlimit limit;
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -52,132 +52,145 @@
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// Guards against a reload that is asked for before the node can hear of it: that would end the program.
-void hold_reloads(bool hold) {
-  sigset_t reload;
-  sigemptyset(&reload);
-  sigaddset(&reload, SIGHUP);
-  sigprocmask(hold ? SIG_BLOCK : SIG_UNBLOCK, &reload, nullptr);
+// Blocks or unblocks SIGHUP. Until its handler is installed, a SIGHUP would terminate the process.
+void block_sighup(bool block) {
+  sigset_t signals;
+  sigemptyset(&signals);
+  sigaddset(&signals, SIGHUP);
+  sigprocmask(block ? SIG_BLOCK : SIG_UNBLOCK, &signals, nullptr);
 }
 
-std::string given(const char* variable) {
+// The value of an environment variable; empty if it is not set.
+std::string environment(const char* variable) {
   const char* value = std::getenv(variable);
   return value ? value : "";
 }
 
-std::unique_ptr<flintweir::node::NodeConfig> node_file(const std::string& path) {
-  return std::make_unique<flintweir::node::NodeConfig>(path, given("EDGE_LISTEN"), given("EDGE_DISCOVERY"));
+std::unique_ptr<flintweir::node::NodeConfig> load_node_config(const std::string& path) {
+  return std::make_unique<flintweir::node::NodeConfig>(path, environment("EDGE_LISTEN"),
+                                                       environment("EDGE_DISCOVERY"));
 }
 
-flintweir::setup::OperatorFile operator_file(const std::string& path) {
+flintweir::setup::OperatorFile load_operator_file(const std::string& path) {
   return path.empty() ? flintweir::setup::OperatorFile()
                       : flintweir::setup::OperatorFile::load_or_throw(path);
 }
 
-// As the files say; the node serves nobody yet.
-void set_up(flintweir::node::Node& node, const flintweir::node::NodeConfig& file,
-            const flintweir::setup::OperatorFile& own) {
-  if (!own.fleet) return;
-  const std::string name = given("EDGE_NAME");
-  node.join_fleet(own, name.empty() ? file.name() : name, kVersion, file.seed());
+// Makes the node a member of the fleet that the operator's file names, if any.
+void join_fleet(flintweir::node::Node& node, const flintweir::node::NodeConfig& config,
+                const flintweir::setup::OperatorFile& operator_file) {
+  if (!operator_file.fleet) return;
+  const std::string name = environment("EDGE_NAME");
+  node.join_fleet(operator_file, name.empty() ? config.name() : name, kVersion, config.seed());
 }
 
-int serve(const std::string& config, const std::string& own) {
+int serve(const std::string& config_path, const std::string& operator_path) {
   std::signal(SIGPIPE, SIG_IGN);
   raise_descriptor_limit();
   flintweir::net::KernelNetwork network;
-  const auto file = node_file(config);
-  flintweir::node::Node node(network, *file);
-  set_up(node, *file, operator_file(own));
-  // Before anybody can be taken: a signal that came in between would end the program with its clients.
+  const auto config = load_node_config(config_path);
+  flintweir::node::Node node(network, *config);
+  join_fleet(node, *config, load_operator_file(operator_path));
+  // Installs the handlers before the first client is accepted. Otherwise a signal could terminate the process
+  // and break its clients' connections.
   network.handle_signals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
     if (signal != SIGHUP) return node.shut_down();
-    node.reload([&] { return std::pair(node_file(config), operator_file(own)); });
+    node.reload([&] { return std::pair(load_node_config(config_path), load_operator_file(operator_path)); });
   });
   node.serve();
-  hold_reloads(false);  // one that came meanwhile is heard now
+  block_sighup(false);  // a SIGHUP that arrived meanwhile is handled now
   network.run();
   return 0;
 }
 
-int check(const std::string& config, const std::string& own) {
-  std::vector<std::string> wrong;
-  const auto operators =
-      own.empty() ? flintweir::setup::OperatorFile() : flintweir::setup::OperatorFile::load(own, wrong);
-  for (const std::string& line : wrong) std::fprintf(stderr, "flintweir: %s\n", line.c_str());
-  if (!config.empty()) {
+int check(const std::string& config_path, const std::string& operator_path) {
+  std::vector<std::string> errors;
+  const auto operator_file = operator_path.empty()
+                                 ? flintweir::setup::OperatorFile()
+                                 : flintweir::setup::OperatorFile::load(operator_path, errors);
+  for (const std::string& error : errors) std::fprintf(stderr, "flintweir: %s\n", error.c_str());
+  if (!config_path.empty()) {
     flintweir::net::NullNetwork null_network;
-    const auto file = node_file(config);
-    flintweir::node::Node node(null_network, *file);
-    if (wrong.empty()) set_up(node, *file, operators);
-    std::printf("%s: ok\n", config.c_str());
+    const auto config = load_node_config(config_path);
+    flintweir::node::Node node(null_network, *config);
+    if (errors.empty()) join_fleet(node, *config, operator_file);
+    std::printf("%s: ok\n", config_path.c_str());
   }
-  if (!own.empty() && wrong.empty()) std::printf("%s: ok\n", own.c_str());
-  return wrong.empty() ? 0 : 1;
+  if (!operator_path.empty() && errors.empty()) std::printf("%s: ok\n", operator_path.c_str());
+  return errors.empty() ? 0 : 1;
 }
 
 int members(const std::string& at, bool json, bool watch) {
   const auto address = flintweir::parse_address(at);
-  if (!address) return wrong_use("--at has to be an address with a port, as in fleet.address");
+  if (!address) return usage_error("--at has to be an address with a port, as in fleet.address");
   flintweir::ViewClient client(*address);
   for (;;) {
-    const auto* const view = client.ask();
-    const bool answered = view != nullptr;
+    const auto* const view = client.query();
+    const bool responded = view != nullptr;
     if (view) std::fputs((json ? to_json(*view) : to_table(*view)).c_str(), stdout);
     std::fflush(stdout);
-    if (!answered) std::fprintf(stderr, "flintweir: nobody answers at %s\n", at.c_str());
-    if (!watch) return answered ? 0 : 3;
+    if (!responded) std::fprintf(stderr, "flintweir: no response from %s\n", at.c_str());
+    if (!watch) return responded ? 0 : 3;
     std::this_thread::sleep_for(std::chrono::seconds(1));
   }
 }
 
-// lease hold NAME -- COMMAND..., lease list, lease show NAME.
-int lease(const std::vector<std::string>& words, const std::string& own, const std::string& from,
-          const std::string& told, bool json) {
-  const std::string what = words.size() > 1 ? words[1] : "", name = words.size() > 2 ? words[2] : "";
-  if (what != "hold" && what != "list" && what != "show")
-    return wrong_use("lease takes 'hold NAME -- COMMAND', 'list' or 'show NAME'");
-  if ((what == "hold" && words.size() < 4) || (what == "show" && words.size() != 3) ||
-      (what == "list" && words.size() != 2))
-    return wrong_use("lease " + what + ": wrong number of words");
+// The commands `lease hold NAME -- COMMAND...`, `lease list` and `lease show NAME`.
+int lease(const std::vector<std::string>& arguments, const std::string& operator_path,
+          const std::string& from, const std::string& advertised, bool json) {
+  const std::string action = arguments.size() > 1 ? arguments[1] : "",
+                    name = arguments.size() > 2 ? arguments[2] : "";
+  if (action != "hold" && action != "list" && action != "show")
+    return usage_error("lease takes 'hold NAME -- COMMAND', 'list' or 'show NAME'");
+  if ((action == "hold" && arguments.size() < 4) || (action == "show" && arguments.size() != 3) ||
+      (action == "list" && arguments.size() != 2))
+    return usage_error("lease " + action + ": wrong number of arguments");
   if (name.size() > flintweir::leases::kMaxLeaseNameBytes || !flintweir::is_printable_token(name))
-    return wrong_use("lease: a name has at most 64 printable characters without blanks and quotes");
-  for (const std::string& a : {from, told})
-    if (!a.empty() && !flintweir::parse_address(a)) return wrong_use("'" + a + "' is no address with a port");
-  if (own.empty()) return wrong_use("no operator's file: name one with --operator or EDGE_OPERATOR");
+    return usage_error(
+        "lease: a name has at most 64 printable ASCII characters without spaces, quotes and backslashes");
+  for (const std::string& address : {from, advertised})
+    if (!address.empty() && !flintweir::parse_address(address))
+      return usage_error("'" + address + "' is not a numeric IP address with a port");
+  if (operator_path.empty()) return usage_error("no operator's file: set --operator or EDGE_OPERATOR");
   try {
-    const auto file = operator_file(own);
-    if (!file.leases) return wrong_use(own + " has no section [leases]");
-    if (what != "hold") return flintweir::lease_list(file, name, json);
-    hold_reloads(false);
-    return flintweir::lease_hold(file, name, from, told, {words.begin() + 3, words.end()});
+    const auto operator_file = load_operator_file(operator_path);
+    if (!operator_file.leases) return usage_error(operator_path + " has no section [leases]");
+    if (action != "hold") return flintweir::lease_list(operator_file, name, json);
+    block_sighup(false);
+    return flintweir::lease_hold(operator_file, name, from, advertised,
+                                 {arguments.begin() + 3, arguments.end()});
   } catch (const std::exception& e) {
     std::fprintf(stderr, "flintweir: %s\n", e.what());
     return 1;
   }
 }
 
-// change put FILE, under a lease, whose token is its number; change show --at ADDRESS.
-int change(const std::vector<std::string>& words, const std::string& own, const std::string& at, bool json) {
-  const std::string what = words.size() > 1 ? words[1] : "";
-  if ((what != "put" || words.size() != 3) && (what != "show" || words.size() != 2))
-    return wrong_use("change takes 'put FILE' or 'show'");
+// The commands `change put FILE`, which runs under a lease whose token becomes the number of the change, and
+// `change show --at ADDRESS`.
+int change(const std::vector<std::string>& arguments, const std::string& operator_path, const std::string& at,
+           bool json) {
+  const std::string action = arguments.size() > 1 ? arguments[1] : "";
+  if ((action != "put" || arguments.size() != 3) && (action != "show" || arguments.size() != 2))
+    return usage_error("change takes 'put FILE' or 'show'");
   const auto address = flintweir::parse_address(at);
-  if (!at.empty() && !address) return wrong_use("--at has to be an address with a port, as in fleet.address");
-  if (what == "show" && !address) return wrong_use("no node to ask: name one with --at");
+  if (!at.empty() && !address)
+    return usage_error("--at has to be an address with a port, as in fleet.address");
+  if (action == "show" && !address) return usage_error("no node: set --at");
   try {
-    if (what == "show") return flintweir::change_show(*address, json);
-    const std::string token = given("FLINTWEIR_TOKEN");
+    if (action == "show") return flintweir::change_show(*address, json);
+    const std::string token = environment("FLINTWEIR_TOKEN");
     std::uint64_t number = 0;
     const auto [end, ec] = std::from_chars(token.data(), token.data() + token.size(), number);
     if (token.empty() || ec != std::errc{} || end != token.data() + token.size() || number == 0)
-      return wrong_use(
-          "change put gets its number from the lease it runs under: flintweir lease hold changes -- "
+      return usage_error(
+          "change put takes its number from the lease under which it runs: flintweir lease hold changes -- "
           "flintweir change put FILE");
-    if (own.empty()) return wrong_use("no operator's file: name one with --operator or EDGE_OPERATOR");
-    const auto file = operator_file(own);
-    if (!file.fleet || !file.changes) return wrong_use(own + " has no section [changes]");
-    return flintweir::change_put(file, words[2], number, address.value_or(file.fleet->address));
+    if (operator_path.empty()) return usage_error("no operator's file: set --operator or EDGE_OPERATOR");
+    const auto operator_file = load_operator_file(operator_path);
+    if (!operator_file.fleet || !operator_file.changes)
+      return usage_error(operator_path + " has no section [changes]");
+    return flintweir::change_put(operator_file, arguments[2], number,
+                                 address.value_or(operator_file.fleet->address));
   } catch (const std::exception& e) {
     std::fprintf(stderr, "flintweir: %s\n", e.what());
     return 1;
@@ -187,10 +200,10 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  hold_reloads(true);
-  std::string config = given("EDGE_CONFIG"), own = given("EDGE_OPERATOR"), at;
+  block_sighup(true);
+  std::string config_path = environment("EDGE_CONFIG"), operator_path = environment("EDGE_OPERATOR"), at;
   bool json = false, watch = false;
-  std::string from, told;
+  std::string from, advertised;
   const option options[] = {
       {"from", required_argument, nullptr, 'f'},   {"told", required_argument, nullptr, 't'},
       {"config", required_argument, nullptr, 'c'}, {"operator", required_argument, nullptr, 'o'},
@@ -199,44 +212,44 @@
       {"version", no_argument, nullptr, 'v'},      {nullptr, 0, nullptr, 0}};
   bool help = false, version = false;
   opterr = 0;
-  for (int o; (o = getopt_long(argc, argv, "c:o:hv", options, nullptr)) != -1;) {
-    if (o == 'c')
-      config = optarg;
-    else if (o == 'o')
-      own = optarg;
-    else if (o == 'a')
+  for (int option_char; (option_char = getopt_long(argc, argv, "c:o:hv", options, nullptr)) != -1;) {
+    if (option_char == 'c')
+      config_path = optarg;
+    else if (option_char == 'o')
+      operator_path = optarg;
+    else if (option_char == 'a')
       at = optarg;
-    else if (o == 'f')
+    else if (option_char == 'f')
       from = optarg;
-    else if (o == 't')
-      told = optarg;
-    else if (o == 'j')
+    else if (option_char == 't')
+      advertised = optarg;
+    else if (option_char == 'j')
       json = true;
-    else if (o == 'w')
+    else if (option_char == 'w')
       watch = true;
-    else if (o == 'h')
+    else if (option_char == 'h')
       help = true;
-    else if (o == 'v')
+    else if (option_char == 'v')
       version = true;
     else
-      return wrong_use("unknown option or missing value: '" + std::string(argv[optind - 1]) + "'");
+      return usage_error("unknown option or missing value: '" + std::string(argv[optind - 1]) + "'");
   }
   const std::string command = optind < argc ? argv[optind] : help ? "help" : version ? "version" : "";
-  const std::vector<std::string> words(argv + std::min(optind, argc), argv + argc);
-  if (command == "change") return change(words, own, at, json);
-  if (command == "lease") return lease(words, own, from, told, json);
-  if (optind + 1 < argc) return wrong_use("too many words: '" + std::string(argv[optind + 1]) + "'");
+  const std::vector<std::string> arguments(argv + std::min(optind, argc), argv + argc);
+  if (command == "change") return change(arguments, operator_path, at, json);
+  if (command == "lease") return lease(arguments, operator_path, from, advertised, json);
+  if (optind + 1 < argc) return usage_error("too many arguments: '" + std::string(argv[optind + 1]) + "'");
   if (help || command == "help") return std::fputs(kHelp, stdout), 0;
   if (version || command == "version") return std::printf("flintweir %s\n", kVersion), 0;
-  if (command.empty()) return wrong_use("no command");
-  if (command == "members" && at.empty()) return wrong_use("no node to ask: name one with --at");
+  if (command.empty()) return usage_error("no command");
+  if (command == "members" && at.empty()) return usage_error("no node: set --at");
   if (command != "members" && command != "serve" && command != "check")
-    return wrong_use("unknown command '" + command + "'");
-  if (config.empty() && (command == "serve" || (command == "check" && own.empty())))
-    return wrong_use("no configuration: name one with --config or EDGE_CONFIG");
+    return usage_error("unknown command '" + command + "'");
+  if (config_path.empty() && (command == "serve" || (command == "check" && operator_path.empty())))
+    return usage_error("no configuration: set --config or EDGE_CONFIG");
   try {
     if (command == "members") return members(at, json, watch);
-    return command == "serve" ? serve(config, own) : check(config, own);
+    return command == "serve" ? serve(config_path, operator_path) : check(config_path, operator_path);
   } catch (const std::exception& e) {
     std::fprintf(stderr, "flintweir: %s\n", e.what());
     return 1;
