--- a/src/node/discovery.cpp
+++ b/src/node/discovery.cpp
@@ -103,10 +103,10 @@
   if (!std::exchange(first_request_done_, true)) events_.first_request_done();
 }
 
-void Discovery::http_failed(const char* why, RequestFailure how) {
-  log_line("discovery: %s", why);
+void Discovery::http_failed(const char* reason, RequestFailure failure) {
+  log_line("discovery: %s", reason);
   using Failure = StalenessClock::Failure;
-  switch (how) {
+  switch (failure) {
     case RequestFailure::timeout:
       return request_failed(Failure::timeout);
     case RequestFailure::truncated:
@@ -118,17 +118,17 @@
   }
 }
 
-void Discovery::request_failed(StalenessClock::Failure how) {
+void Discovery::request_failed(StalenessClock::Failure failure) {
   using Failure = StalenessClock::Failure;
   const bool first = !clock_.is_catching_up();
-  clock_.request_failed(timers_.now(), how);
+  clock_.request_failed(timers_.now(), failure);
   update_staleness();
   const Micros stale_in = clock_.stale_from() - timers_.now();
   log_line("list: request failed; the list is stale in %lld ms",
            static_cast<long long>(std::chrono::duration_cast<std::chrono::milliseconds>(stale_in).count()));
   // A request that timed out or whose response was truncated may have withheld a change: requests the whole
   // list, the first time without a pause.
-  const bool change_withheld = how == Failure::timeout || how == Failure::truncated;
+  const bool change_withheld = failure == Failure::timeout || failure == Failure::truncated;
   if (change_withheld && std::exchange(version_, std::nullopt) && first) return send_request();
   schedule_retry();
 }
--- a/src/node/discovery.h
+++ b/src/node/discovery.h
@@ -58,10 +58,10 @@
     return service_generation_ << 2 | static_cast<std::uint64_t>(timer);
   }
   void http_response(unsigned status, std::string& body) override;
-  void http_failed(const char* why, RequestFailure how) override;
+  void http_failed(const char* reason, RequestFailure failure) override;
   void timer_expired(std::uint64_t token) override;
   void send_request();
-  void request_failed(StalenessClock::Failure how);
+  void request_failed(StalenessClock::Failure failure);
   void schedule_retry();
   // Tells the balancer when the copy of the list becomes stale and when it no longer is.
   void update_staleness();
--- a/src/node/promise_store.h
+++ b/src/node/promise_store.h
@@ -11,8 +11,8 @@
 
 namespace flintweir::node {
 
-// File operations on one directory. Each may fail: those that return bool then
-// return false, read() returns nothing, and file_names() throws std::runtime_error.
+// File operations on one directory. Each may fail: those that return bool then return false, read() returns
+// nothing, and file_names() throws std::runtime_error.
 class Directory {
  public:
   virtual ~Directory() = default;
--- a/src/node/staleness_clock.cpp
+++ b/src/node/staleness_clock.cpp
@@ -27,12 +27,12 @@
   outage_assumed_ = false;
 }
 
-void StalenessClock::request_failed(Micros now, Failure how) {
+void StalenessClock::request_failed(Micros now, Failure failure) {
   const Micros pending_deadline = std::exchange(pending_deadline_, kNever);
   failed_at_ = now;
   if (now - requested_at_ > kMaxQueueTime)
     started_at_ = kNever;  // the service was processing this long poll and would have reported changes
-  switch (how) {
+  switch (failure) {
     case Failure::timeout:
       persistent_deadline_ = std::min(persistent_deadline_, pending_deadline);
       return service_was_reachable();
@@ -54,15 +54,15 @@
     outage_proven_at_ = requested_at_;  // the service may have come back since the request was sent
     return;
   }
-  how == Failure::connection_refused ? service_down(now) : request_rejected(now, how);
+  failure == Failure::connection_refused ? service_down(now) : request_rejected(now, failure);
 }
 
 // The service answered with an error or closed the connection: it may have been up.
-void StalenessClock::request_rejected(Micros now, Failure how) {
+void StalenessClock::request_rejected(Micros now, Failure failure) {
   const bool is_first = failure_deadline_ == kNever && outage_proven_at_ == kNever;
   service_was_reachable();
   failure_deadline_ = std::min(failure_deadline_, unreported_since(now) + kChangeDeadline);
-  if (is_first && how == Failure::connection_closed) connection_closed_at_ = now;
+  if (is_first && failure == Failure::connection_closed) connection_closed_at_ = now;
 }
 
 void StalenessClock::service_down(Micros now) {
--- a/src/node/staleness_clock.h
+++ b/src/node/staleness_clock.h
@@ -41,7 +41,7 @@
   void request_sent(Micros now, Micros wait);
   // The copy is up to date.
   void list_received();
-  void request_failed(Micros now, Failure how);
+  void request_failed(Micros now, Failure failure);
   // Requests go to another service from now on. The deadlines so far remain in force.
   void service_switched(Micros now);
   // A new configuration names the same service: the pending request is cancelled and sent again.
@@ -57,7 +57,7 @@
   bool is_catching_up() const;
 
  private:
-  void request_rejected(Micros now, Failure how);
+  void request_rejected(Micros now, Failure failure);
   void service_down(Micros now);
   void service_was_reachable();
   Micros unreported_since(Micros now) const;
--- a/tests/node_life_test.cpp
+++ b/tests/node_life_test.cpp
@@ -31,16 +31,16 @@
         program->wait_for_log("reload: discovery at 127.0.0.1:" + std::to_string(next.port())).empty());
   }
   EXPECT_EQ(old.read_line(), "(end)");
-  Peer watch;
-  while (next.connection_pending(watch.fd() < 0 ? kMaxWait : 200ms)) watch = next.accept();
-  EXPECT_EQ(read_request(watch), "GET /api/targets HTTP/1.1");
+  Peer poll;
+  while (next.connection_pending(poll.fd() < 0 ? kMaxWait : 200ms)) poll = next.accept();
+  EXPECT_EQ(read_request(poll), "GET /api/targets HTTP/1.1");
   // The list of the previous service is no basis for the changes that the new service reports.
-  respond(watch, list_json(41, false, target_json("s-0", hosts[0].port(), "DELETED")));
+  respond(poll, list_json(41, false, target_json("s-0", hosts[0].port(), "DELETED")));
   EXPECT_FALSE(program->wait_for_log("malformed or stale").empty());
-  EXPECT_EQ(read_request(watch), "GET /api/targets HTTP/1.1");
+  EXPECT_EQ(read_request(poll), "GET /api/targets HTTP/1.1");
   // The versions of the new service may be lower.
-  respond(watch, list_json(3, true, target_json("s-1", hosts[1].port())));
-  expect_watch_request(read_request(watch), 3);
+  respond(poll, list_json(3, true, target_json("s-1", hosts[1].port())));
+  expect_watch_request(read_request(poll), 3);
   for (int i = 0; i < 3; ++i) {
     Peer another = open_session();
     EXPECT_EQ(next_dial().first, 1u);
@@ -109,9 +109,9 @@
 
 class InvalidStart : public testing::TestWithParam<std::pair<const char*, const char*>> {};
 TEST_P(InvalidStart, ExitsWithOneErrorMessage) {
-  std::istringstream words(GetParam().first);
+  std::istringstream arguments(GetParam().first);
   std::vector<std::string> args;
-  for (std::string w; words >> w;) args.push_back(w);
+  for (std::string argument; arguments >> argument;) args.push_back(argument);
   Program program(GetParam().second, args);
   EXPECT_GT(program.wait_for_exit(), 0);
   EXPECT_GT(program.wait_for_log("flintweir: ").size(), 25u);
--- a/tests/node_list_test.cpp
+++ b/tests/node_list_test.cpp
@@ -16,14 +16,14 @@
   const auto sent_at = Steady::now();
   expect_watch_request(read_request(poll), 2);
   EXPECT_LT(Steady::now() - sent_at, 200ms);
-  std::vector<Peer> kept;
+  std::vector<Peer> connections;
   for (int i = 0; i < 4; ++i) {
     Peer client = open_session();
-    kept.push_back(moved.accept());
-    kept.back().read_line();
-    kept.back().send("UP r\r\n");
+    connections.push_back(moved.accept());
+    connections.back().read_line();
+    connections.back().send("UP r\r\n");
     EXPECT_EQ(client.read_line(), "UP r");
-    kept.push_back(std::move(client));
+    connections.push_back(std::move(client));
   }
   for (const Acceptor& h : hosts) EXPECT_FALSE(h.connection_pending(0ms));
   // A malformed response changes nothing, and the list is requested again.
--- a/tests/staleness_clock_test.cpp
+++ b/tests/staleness_clock_test.cpp
@@ -39,10 +39,10 @@
 
 // Later failures, however many and at whatever intervals, do not extend the deadline of the first.
 TEST(StalenessClock, CountsFromTheFirstFailure) {
-  for (const Failure how : {Failure::error_response, Failure::connection_closed}) {
+  for (const Failure failure : {Failure::error_response, Failure::connection_closed}) {
     StalenessClock clock(kOutageThreshold);
     clock.request_sent(90s, 20s);
-    clock.request_failed(101s, how);
+    clock.request_failed(101s, failure);
     EXPECT_TRUE(clock.is_catching_up());
     EXPECT_EQ(clock.stale_from(), 107s);
     EXPECT_EQ(clock.request_by(), 104s + 500ms);  // leaves the longest time that a response may take
@@ -61,7 +61,7 @@
     // The request may have been queued at the service until it failed.
     for (const Micros took : {Micros{4s}, 4s + 1us}) {
       clock.request_sent(200s, 20s);
-      clock.request_failed(200s + took, how);
+      clock.request_failed(200s + took, failure);
       EXPECT_EQ(clock.stale_from(), took == 4s ? 206s : 206s + took);
       clock.list_received();
     }
@@ -71,25 +71,25 @@
 // Guards against a node that starts with an old list and counts from its first request, which may be sent
 // late and fail, instead of from its start.
 TEST(StalenessClock, CountsFromTheStartUntilTheFirstList) {
-  for (const Failure how : {Failure::error_response, Failure::connection_closed, Failure::truncated}) {
+  for (const Failure failure : {Failure::error_response, Failure::connection_closed, Failure::truncated}) {
     StalenessClock clock(kOutageThreshold);
     clock.started(100s);
     EXPECT_EQ(clock.stale_from(), kNever);
     clock.request_sent(103s, 20s);
     EXPECT_EQ(clock.stale_from(), 125s);
-    clock.request_failed(104s, how);
+    clock.request_failed(104s, failure);
     EXPECT_EQ(clock.stale_from(), 106s);
     clock.list_received();
     clock.request_sent(110s, 20s);
-    clock.request_failed(120s, how);
+    clock.request_failed(120s, failure);
     EXPECT_GE(clock.stale_from(), 124s);
     // A long poll that the service held would have reported changes, as a response does.
     StalenessClock long_polling(kOutageThreshold);
     long_polling.started(100s);
     long_polling.request_sent(103s, 20s);
-    long_polling.request_failed(110s, how);
+    long_polling.request_failed(110s, failure);
     long_polling.request_sent(111s, 0s);
-    long_polling.request_failed(112s, how);
+    long_polling.request_failed(112s, failure);
     EXPECT_GE(long_polling.stale_from(), 114s);
   }
 }
@@ -210,34 +210,34 @@
 }
 
 TEST(StalenessClock, AssumesAnOutageAfterTheThreshold) {
-  const auto fail_until = [](StalenessClock& clock, Micros from, Micros until, Failure how) {
+  const auto fail_until = [](StalenessClock& clock, Micros from, Micros until, Failure failure) {
     for (Micros at = from; at <= until; at += 3s) {
       clock.request_sent(at, 0s);
-      clock.request_failed(at, how);
+      clock.request_failed(at, failure);
     }
   };
-  for (const Failure how :
+  for (const Failure failure :
        {Failure::error_response, Failure::connection_closed, Failure::connection_refused}) {
     StalenessClock clock(kOutageThreshold);
-    fail_until(clock, 100s, 115s, how);
+    fail_until(clock, 100s, 115s, failure);
     EXPECT_EQ(clock.stale_from(), 106s);
-    fail_until(clock, 118s, 118s, how);  // 10 s after the copy became stale at 106 s
+    fail_until(clock, 118s, 118s, failure);  // 10 s after the copy became stale at 106 s
     EXPECT_EQ(clock.stale_from(), 124s);
-    fail_until(clock, 121s, 121s, how);
+    fail_until(clock, 121s, 121s, failure);
     EXPECT_EQ(clock.stale_from(), 127s);
     EXPECT_TRUE(clock.is_catching_up());
     // Any other failure sets its deadline during an assumed outage as at any other time.
     StalenessClock switched = clock, timed_out = clock;
     switched.service_switched(122s);
     EXPECT_EQ(switched.stale_from(), 126s);
-    fail_until(switched, 123s, 200s, how);
+    fail_until(switched, 123s, 200s, failure);
     EXPECT_EQ(switched.stale_from(), 126s);
     timed_out.request_sent(122s, 0s);
     timed_out.request_failed(126s, Failure::timeout);
-    fail_until(timed_out, 127s, 200s, how);
+    fail_until(timed_out, 127s, 200s, failure);
     EXPECT_EQ(timed_out.stale_from(), 127s);
     clock.list_received();
-    fail_until(clock, 130s, 133s, how);  // a received list ended the assumed outage
+    fail_until(clock, 130s, 133s, failure);  // a received list ended the assumed outage
     EXPECT_EQ(clock.stale_from(), 136s);
   }
 }
@@ -351,13 +351,14 @@
     clock_.service_switched(now_);
     switched_at_ = now_;
   }
-  void fail(Failure how) {
+  void fail(Failure failure) {
     constexpr const char* kNames[] = {"timeout", "truncated", "error response", "connection closed",
                                       "connection refused"};
-    trace(kNames[static_cast<int>(how)]);
+    trace(kNames[static_cast<int>(failure)]);
     const bool first = !clock_.is_catching_up();
-    clock_.request_failed(now_, how);
-    if (first && (how == Failure::timeout || how == Failure::truncated)) return;  // retries immediately
+    clock_.request_failed(now_, failure);
+    // The first of these failures is followed by a request without a pause.
+    if (first && (failure == Failure::timeout || failure == Failure::truncated)) return;
     Micros next = now_ + random_time(500ms, 3750ms);
     const Micros in_time = clock_.request_by() - random_time(0s, 1s);
     if (in_time > now_) next = std::min(next, in_time);
