--- a/src/node/lease_holder.h
+++ b/src/node/lease_holder.h
@@ -22,7 +22,7 @@
  public:
   VoterAddresses(net::Network& network, const setup::FleetSection& fleet, std::vector<std::string> voters,
                  std::uint64_t seed);
-  // Queries the next node of this node's address and the seeds, in turn.
+  // Queries the next of the nodes at fleet.address and at the seeds, in turn.
   void query_next_node();
   // Handles a datagram. Returns false if it is not from the queried node.
   bool on_datagram(const Address& from, std::string_view bytes);
@@ -61,8 +61,8 @@
    protected:
     ~Events() = default;
   };
-  // `participant` is a name that no other process uses, now or later: a name and the start time. Datagrams
-  // are received at `local`; voters reply to `advertised`, or to `local` if that is unset.
+  // `participant` identifies this process to the voters: a name and the start time. Datagrams are received at
+  // `local`; voters reply to `advertised`, or to `local` if that is unset.
   LeaseHolder(net::Network& network, net::TimerQueue& timers, const setup::OperatorFile& operator_file,
               std::string lease, std::string participant, const Address& local,
               std::optional<Address> advertised, std::uint64_t seed, Events& events);
