--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -1,5 +1,5 @@
-// Starts the program and speaks to it over sockets: clients, hosts and discovery are small stand-ins played
-// by the test itself. Waits end on what is waited for; the longest ones only where a test fails.
+// Runs the program as a child process and talks to it over sockets. The test itself plays clients, hosts and
+// discovery. Waits end as soon as the expected event occurs; they last up to kMaxWait only in a failing test.
 #pragma once
 
 #include <arpa/inet.h>
@@ -27,13 +27,14 @@
 
 constexpr auto kMaxWait = 10s;
 
-inline bool wait_readable(int fd, Steady::duration within) {
+// Returns false if nothing arrived in time. With an `fd` of -1 it only sleeps.
+inline bool wait_readable(int fd, Steady::duration timeout) {
   pollfd p{fd, POLLIN, 0};
-  const auto ms = std::chrono::ceil<std::chrono::milliseconds>(within).count();
+  const auto ms = std::chrono::ceil<std::chrono::milliseconds>(timeout).count();
   return poll(&p, 1, static_cast<int>(std::max<long long>(ms, 0))) > 0;
 }
 
-// One end of a connection.
+// One end of a TCP connection. Owns its descriptor.
 class Peer {
  public:
   Peer() = default;
@@ -63,14 +64,15 @@
       text.remove_prefix(static_cast<std::size_t>(n));
     }
   }
-  // As much as is taken at once; the rest stays with the caller.
+  // Sends without blocking and returns how many bytes the kernel took.
   std::size_t try_send(std::string_view text) const {
     const ssize_t n = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
     return n > 0 ? static_cast<std::size_t>(n) : 0;
   }
-  // The next line without its end; "(end)", "(reset)" or "(nothing)" where there is none.
-  std::string read_line(Steady::duration within = kMaxWait) {
-    const auto until = Steady::now() + within;
+  // Returns the next line without its line end, or "(end)" at the end of the stream, "(reset)" after a reset,
+  // "(nothing)" if no line came in time.
+  std::string read_line(Steady::duration timeout = kMaxWait) {
+    const auto until = Steady::now() + timeout;
     for (;;) {
       if (const auto end = in_.find("\r\n"); end != in_.npos) {
         const std::string out = in_.substr(0, end);
@@ -85,7 +87,8 @@
       in_.append(bytes, static_cast<std::size_t>(n));
     }
   }
-  bool wait_closed() {  // however it ended
+  // Whether the other side has ended the connection, by closing or resetting it, without a further line.
+  bool wait_closed() {
     const std::string last = read_line();
     return last == "(end)" || last == "(reset)";
   }
@@ -105,7 +108,7 @@
   std::string in_;
 };
 
-// A listening stand-in on a free port.
+// A listening socket on a free port of the loopback address. Owns its descriptor.
 class Acceptor {
  public:
   Acceptor() : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -126,9 +129,9 @@
   }
   int fd() const { return fd_; }
   int port() const { return port_; }
-  bool connection_pending(Steady::duration within = kMaxWait) const { return wait_readable(fd_, within); }
+  bool connection_pending(Steady::duration timeout = kMaxWait) const { return wait_readable(fd_, timeout); }
   Peer accept() const {
-    if (!connection_pending()) return ADD_FAILURE() << "nobody came to " << port_, Peer();
+    if (!connection_pending()) return ADD_FAILURE() << "no connection to port " << port_, Peer();
     return Peer(accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC));
   }
 
@@ -136,6 +139,7 @@
   int fd_, port_ = 0;
 };
 
+// One host in a list of discovery.
 inline std::string target_json(const std::string& uid, int port, const char* state = "SERVING") {
   std::ostringstream out;
   out << R"({"uid":")" << uid << R"(","endpoint":"127.0.0.1:)" << port
@@ -144,16 +148,18 @@
   return out.str();
 }
 
+// A list in discovery's form; `whole` is false for changes only.
 inline std::string list_json(int rev, bool whole, const std::string& targets) {
   return "{\"rev\":" + std::to_string(rev) + ",\"all\":" + (whole ? "true" : "false") + ",\"targets\":[" +
          targets + "]}";
 }
 
-inline std::string settings_json(bool probes, bool stay_away, bool pushed, int dial_timeout,
+// The settings section of a node's configuration. Times are in microseconds.
+inline std::string settings_json(bool probes, bool retry_after, bool pushed, int dial_timeout,
                                  int ask_every = 10'000'000) {
   std::ostringstream out;
   out << R"({"balancers":1,"ceilings":{"connectTimeout":500000,"maxDials":4,"maxRetryAfter":1500000,"retryAfter":)"
-      << (stay_away ? "true" : "false") << R"(,)"
+      << (retry_after ? "true" : "false") << R"(,)"
       << R"("probes":)" << (probes ? "true" : "false") << R"(},"discovery":")"
       << (pushed ? "pushed" : "on_request")
       << R"(","failureDomains":["a","b"],"myZone":0,"prices":{"probe":0},)"
@@ -168,11 +174,12 @@
   return out.str();
 }
 
-// The program, from its start to its end.
+// The program as a child process. Its destructor kills it.
 class Program {
  public:
-  // `discovery` is what EDGE_DISCOVERY says. A reload is asked for before the program begins where told.
-  Program(const std::string& config, std::vector<std::string> words, const std::string& discovery = "",
+  // `args` are the command line arguments. `discovery` is the value of EDGE_DISCOVERY. With `reload_first`,
+  // SIGHUP is pending before the program starts.
+  Program(const std::string& config, std::vector<std::string> args, const std::string& discovery = "",
           bool reload_first = false) {
     char path[] = "/tmp/flintweir_test_XXXXXX";
     ::close(mkstemp(path));
@@ -189,16 +196,16 @@
       unsetenv("EDGE_LISTEN");
       unsetenv("EDGE_DISCOVERY");
       if (!discovery.empty()) setenv("EDGE_DISCOVERY", discovery.c_str(), 1);
-      if (reload_first) {  // waits until the program is ready for it, or ends it
+      if (reload_first) {  // blocked until the program unblocks it; the default action would end the program
         sigset_t all;
         sigfillset(&all);
         sigprocmask(SIG_BLOCK, &all, nullptr);
         raise(SIGHUP);
       }
-      std::vector<char*> args{const_cast<char*>(FLINTWEIR_PROGRAM)};
-      for (std::string& w : words) args.push_back(w.data());
-      args.push_back(nullptr);
-      execv(FLINTWEIR_PROGRAM, args.data());
+      std::vector<char*> argv{const_cast<char*>(FLINTWEIR_PROGRAM)};
+      for (std::string& arg : args) argv.push_back(arg.data());
+      argv.push_back(nullptr);
+      execv(FLINTWEIR_PROGRAM, argv.data());
       _exit(127);
     }
     ::close(pipes[1]);
@@ -213,9 +220,10 @@
     unlink(path_.c_str());
   }
   Program(const Program&) = delete;
-  // The next log line that holds this; empty where none comes.
-  std::string wait_for_log(const std::string& part, Steady::duration within = kMaxWait) {
-    for (const auto until = Steady::now() + within; Steady::now() < until;) {
+  // Reads the log up to and including the next line that contains `part` and returns that line, or an empty
+  // string if there is none in time.
+  std::string wait_for_log(const std::string& part, Steady::duration timeout = kMaxWait) {
+    for (const auto until = Steady::now() + timeout; Steady::now() < until;) {
       if (const auto end = log_.in.find('\n'); end != log_.in.npos) {
         const std::string out = log_.in.substr(0, end);
         log_.in.erase(0, end + 1);
@@ -230,6 +238,7 @@
     }
     return {};
   }
+  // Returns the exit status, a negative signal number, or -1000 if the program does not exit in time.
   int wait_for_exit() {
     int status = 0;
     for (const auto until = Steady::now() + kMaxWait; Steady::now() < until; wait_readable(-1, 5ms)) {
@@ -255,10 +264,12 @@
   std::string path_;
 };
 
-// A node among stand-ins.
+// A node whose clients, hosts and discovery are played by the test.
 class Node : public testing::Test {
  protected:
-  void start_node(std::size_t count, bool probes = false, int sockets = 1000, bool stay_away = false,
+  // Starts a node with `count` hosts and waits until it serves. `sockets` limits its descriptors,
+  // `retry_after` lets BUSY carry a retry delay.
+  void start_node(std::size_t count, bool probes = false, int sockets = 1000, bool retry_after = false,
                   bool reload_first = false) {
     std::string targets;
     for (std::size_t i = 0; i < count; ++i) {
@@ -270,7 +281,7 @@
       return R"({"name":"n","listen":"127.0.0.1:0","discovery":"127.0.0.1:)" + std::to_string(at) +
              R"(","seed":"8c1f","limits":{"cores":1.0,"memory_mb":)" + std::to_string(memory_mb) +
              R"(,"sockets":)" + std::to_string(sockets) + R"(},"known":)" + list_json(1, true, targets) +
-             R"(,"settings":)" + settings_json(probes, stay_away, pushed, dial_timeout, ask_every) + '}';
+             R"(,"settings":)" + settings_json(probes, retry_after, pushed, dial_timeout, ask_every) + '}';
     };
     program = std::make_unique<Program>(config(1), std::vector<std::string>{"serve"},
                                         "127.0.0.1:" + std::to_string(discovery.port()), reload_first);
@@ -280,13 +291,14 @@
   }
   void TearDown() override { EXPECT_TRUE(!program || program->is_running()) << "the program crashed"; }
   static std::string host_name(std::size_t host) { return "s-" + std::to_string(host); }
+  // Connects a client and requests a session that waits for `d` milliseconds.
   Peer open_session(const std::string& listener = "chat", int d = 2000, const std::string& more = "") {
     Peer client = Peer::connect(port);
     client.send("OPEN " + std::to_string(++ids) + " 7f c=" + listener + ",d=" + std::to_string(d) + more +
                 "\r\n");
     return client;
   }
-  // The host that is dialled next, and the connection to it.
+  // Accepts the next dial and returns the index of its host and the connection.
   std::pair<std::size_t, Peer> next_dial() {
     std::vector<pollfd> acceptors;
     for (const Acceptor& h : hosts) acceptors.push_back({h.fd(), POLLIN, 0});
@@ -296,7 +308,8 @@
     }
     return {0, Peer()};
   }
-  std::pair<Peer, Peer> accepted_session() {  // client, host
+  // Opens a session that its host accepts. Returns the client's and the host's connection.
+  std::pair<Peer, Peer> accepted_session() {
     Peer client = open_session();
     Peer host = next_dial().second;
     EXPECT_EQ(host.read_line().substr(0, 5), "OPEN ");
@@ -304,18 +317,19 @@
     EXPECT_EQ(client.read_line(), "UP r1");
     return {std::move(client), std::move(host)};
   }
-  // Answers one call of discovery.
+  // Answers a request to discovery.
   static void respond(Peer& watch, const std::string& body, const char* status = "200 OK") {
     watch.send("HTTP/1.1 " + std::string(status) + "\r\nContent-Length: " + std::to_string(body.size()) +
                "\r\n\r\n" + body);
   }
-  static std::string read_request(Peer& watch) {  // the first line of a call
+  // Reads an HTTP request and returns its first line.
+  static std::string read_request(Peer& watch) {
     const std::string first = watch.read_line();
     for (std::string l = first; !l.empty() && l[0] != '(';) l = watch.read_line();
     return first;
   }
 
-  // No two nodes wait equally long, but none longer than 20 s or less than half of that.
+  // Each node chooses a random wait between 10 s and 20 s, so that no two wait equally long.
   static void expect_watch_request(const std::string& call, int since) {
     const std::string begin = "GET /api/targets?since=" + std::to_string(since) + "&timeout_ms=";
     ASSERT_EQ(call.substr(0, begin.size()), begin);
@@ -327,8 +341,11 @@
   std::vector<Acceptor> hosts;
   Acceptor discovery;
   std::unique_ptr<Program> program;
-  std::function<std::string(int)> config;  // with discovery at a port
-  int port = 0, ids = 0, dial_timeout = 2'000'000, ask_every = 10'000'000, memory_mb = 192;
+  std::function<std::string(int)> config;                // the configuration with discovery at a given port
+  int port = 0;                                          // of the node
+  int ids = 0;                                           // the latest id given to a client
+  int dial_timeout = 2'000'000, ask_every = 10'000'000;  // in microseconds
+  int memory_mb = 192;
   bool pushed = false;
 };
 
