--- a/tests/node_clients_test.cpp
+++ b/tests/node_clients_test.cpp
@@ -1,10 +1,11 @@
-// Clients up to their answer: first lines, idle connections, floods, descriptors.
+// Client connections before their sessions are accepted: first lines, idle connections, floods, lack of
+// descriptors.
 #include "node_fixture.h"
 
 namespace flintweir::node_tests {
 namespace {
 
-TEST_F(Node, TakesFirstLinesHoweverTheyCome) {
+TEST_F(Node, ReadsFirstLinesInAnyPieces) {
   start_node(4);
   Peer front = Peer::connect(port);
   front.send("PING\r\nPING\r\n");
@@ -18,12 +19,13 @@
   host.send("P r1\r");
   host.send("\n");
   EXPECT_EQ(slow.read_line(), "UP r1");
-  // Words said before the acceptance go on after the first line, however many; a dial still sends that line.
+  // Lines sent before the acceptance are forwarded after the first line, even if they fill the buffer; each
+  // dial still sends the first line.
   Peer hasty = Peer::connect(port);
-  std::string words(1022, 'w');
+  std::string text(1022, 'w');
   hasty.send("PING\r\nOPEN 2 2 c=chat,d=2000\r\n");
   EXPECT_EQ(hasty.read_line(), "PONG");
-  for (int i = 0; i < 20; ++i) hasty.send(words + "\r\n");
+  for (int i = 0; i < 20; ++i) hasty.send(text + "\r\n");
   Peer declined = next_dial().second;
   EXPECT_EQ(declined.read_line().substr(0, 19), "OPEN 2 2 c=chat,d=4");
   declined.send("BUSY\r\n");
@@ -31,8 +33,8 @@
   EXPECT_EQ(host2.read_line().substr(0, 17), "OPEN 2 2 c=chat,d");
   host2.send("UP r2\r\n");
   EXPECT_EQ(hasty.read_line(), "UP r2");
-  for (int i = 0; i < 20; ++i) ASSERT_EQ(host2.read_line(), words) << i;
-  // What is malformed is answered and costs only its own connection.
+  for (int i = 0; i < 20; ++i) ASSERT_EQ(host2.read_line(), text) << i;
+  // Malformed input is answered and ends only its own connection.
   for (const std::string& bad :
        {std::string("GET / HTTP/1.1\r\n"), std::string("OPEN 3 2 c=none,d=5\r\n"), std::string(5000, 'x'),
         "OPEN 4 2 c=chat," + std::string(4200, 'y') + "\r\n", std::string("\0\xff\n", 3),
@@ -47,8 +49,8 @@
   EXPECT_EQ(slow.read_line(), "still here");
 }
 
-// Hosts answer a second use of an id with an error, which would set a sound host aside.
-TEST_F(Node, TurnsAwayTheIdOfAnotherConnection) {
+// Hosts answer a duplicate id with an error, after which the balancer would avoid a healthy host.
+TEST_F(Node, RejectsTheIdOfAnotherConnection) {
   start_node(1);
   auto [client, host] = accepted_session();
   const std::string used = std::to_string(ids--);
@@ -58,32 +60,33 @@
   client.close();
   EXPECT_FALSE(program->wait_for_log("end client-ended").empty());
   ids = std::stoi(used) - 1;
-  EXPECT_EQ(open_session().read_line(), "ERR");  // ids are new with every connection
+  EXPECT_EQ(open_session().read_line(), "ERR");  // an id must not be reused right after its connection
   accepted_session();
 }
 
-// They hold descriptors and say nothing, or stay when they are answered: usual clients are served all the
-// same.
-TEST_F(Node, ServesWhileHundredsOfConnectionsAskForNothing) {
+// Connections that hold descriptors and send nothing, or stay open after their answer, must not keep other
+// clients from being served.
+TEST_F(Node, ServesWhileHundredsOfConnectionsAreIdle) {
   start_node(1, false, 128);
-  std::vector<Peer> silent, rude;
+  std::vector<Peer> silent, lingering;
   std::vector<std::pair<Peer, Peer>> usual;
   const auto began = Steady::now();
   for (int i = 0; i < 100; ++i) {
     for (int n = 0; n < 3; ++n) silent.push_back(Peer::connect(port));
-    rude.push_back(Peer::connect(port));
-    rude.back().send("what?\r\n");
+    lingering.push_back(Peer::connect(port));
+    lingering.back().send("what?\r\n");
     if (i % 10 == 9) usual.push_back(accepted_session());
   }
-  for (Peer& r : rude) EXPECT_EQ(r.read_line(), "ERR");
-  for (Peer& s : silent) {  // a word or an end, each within 3 s
-    const std::string word = s.read_line(began + 3s - Steady::now());
-    EXPECT_TRUE(word == "BUSY" || word == "ERR") << word;
+  for (Peer& r : lingering) EXPECT_EQ(r.read_line(), "ERR");
+  for (Peer& s : silent) {  // each is answered within 3 s
+    const std::string answer = s.read_line(began + 3s - Steady::now());
+    EXPECT_TRUE(answer == "BUSY" || answer == "ERR") << answer;
   }
   EXPECT_FALSE(program->wait_for_log("end crowded-out").empty());
 }
 
-// The answer must not be lost to a reset while the client still sends, nor may it send for ever.
+// A client that is still sending must get its answer, which closing the connection too early would destroy by
+// a reset. It must not be able to send for ever, either.
 TEST_F(Node, AnswersAClientThatSendsFarTooMuch) {
   start_node(1);
   Peer client = Peer::connect(port);
@@ -95,12 +98,12 @@
   accepted_session();
 }
 
-TEST_F(Node, AnswersAllWhereDescriptorsRunOut) {
+TEST_F(Node, AnswersAllWhenDescriptorsRunOut) {
   start_node(1, false, 64);
   std::vector<Peer> clients, taken;
   for (int i = 0; i < 100; ++i) clients.push_back(open_session("chat", 1500));
-  // What the client hears, while its host accepts whatever is dialled: a client waited for alone would not be
-  // dialled yet.
+  // Waits for the client's answer and meanwhile accepts every dial, since other clients' sessions may be
+  // dialled first.
   const auto answer_to = [&](Peer& client) {
     const auto until = Steady::now() + 3s;
     std::string answer = "(nothing)";
@@ -124,12 +127,14 @@
   EXPECT_GT(up, 0u);
   clients.clear();
   taken.clear();
-  // And it serves again. A host that closed before the node did seems to have broken off, for a while.
+  // Afterwards the node serves again. For a while it avoids the host, whose connections were closed without
+  // notice.
   std::string answer;
   for (const auto until = Steady::now() + 10s; answer != "UP r" && Steady::now() < until;) {
     Peer client = open_session();
     answer = answer_to(client);
-    if (answer != "UP r") wait_readable(-1, 100ms);  // thousands of tries a second would fill the unread log
+    // Without a pause, thousands of attempts a second would fill the unread log.
+    if (answer != "UP r") wait_readable(-1, 100ms);
   }
   EXPECT_EQ(answer, "UP r");
 }
