--- a/tests/node_dials_test.cpp
+++ b/tests/node_dials_test.cpp
@@ -1,4 +1,4 @@
-// Dials: how they end, and the rules in random runs.
+// Dials: their outcomes, and the rules for further dials under random behaviour of the hosts.
 #include <map>
 #include <random>
 #include <set>
@@ -9,8 +9,9 @@
 namespace {
 
 TEST_F(Node, KnowsWhetherADialMayHaveRun) {
-  start_node(16);  // those that fail are passed over for a while
-  // Never ran: a turned-away and an unconnected dial of a once-only session go on to another host.
+  start_node(16);  // enough, as hosts that fail are avoided for a while
+  // After a BUSY answer the session has not run, so even a once-only session is dialled again, at another
+  // host.
   Peer client = open_session("pay");
   auto [first, host] = next_dial();
   host.read_line();
@@ -21,8 +22,8 @@
   host2.read_line();
   host2.send("UP r1\r\n");
   EXPECT_EQ(client.read_line(), "UP r1");
-  // It may have run where the host breaks off, errs or is silent after the last byte: no second dial, no
-  // BUSY.
+  // It may have run if the host closes, resets, answers with an error or is silent after the last byte. Then
+  // there is no second dial, and the answer is not BUSY.
   for (const std::string how : {"close", "reset", "ERR\r\n", "what\r\n", "MOVE\r\n", "silence"}) {
     Peer once = open_session("pay", how == "silence" ? 300 : 2000);
     Peer at = next_dial().second;
@@ -37,7 +38,7 @@
     EXPECT_EQ(once.read_line(), "(end)") << how;
     for (const Acceptor& h : hosts) EXPECT_FALSE(h.connection_pending(0ms)) << "dialled again after " << how;
   }
-  // A repeatable one may go on.
+  // A repeatable session may be dialled again.
   Peer again = open_session("chat");
   Peer broke = next_dial().second;
   broke.read_line();
@@ -46,12 +47,13 @@
   other.read_line();
   other.send("UP r2\r\n");
   EXPECT_EQ(again.read_line(), "UP r2");
-  // Hosts that are down refuse connections: never ran, so BUSY even where it may run only once.
+  // Hosts that are down refuse connections, so the session has not run and even a once-only one is answered
+  // BUSY.
   for (Acceptor& h : hosts) h.close();
   EXPECT_EQ(open_session("pay").read_line(), "BUSY");
 }
 
-TEST_F(Node, GivesUpTheDialOfAClientThatLeaves) {
+TEST_F(Node, CancelsTheDialOfAClientThatLeaves) {
   start_node(1);
   Peer client = open_session();
   Peer host = next_dial().second;
@@ -60,16 +62,16 @@
   EXPECT_TRUE(host.wait_closed());
   EXPECT_FALSE(program->wait_for_log("end left").empty());
   host.send("UP late\r\n");
-  auto [next, next_host] = accepted_session();  // a late answer reaches nobody
+  auto [next, next_host] = accepted_session();  // the late answer reached no client
   next_host.send("hello\r\n");
   EXPECT_EQ(next.read_line(), "hello");
 }
 
-// Many sessions at once among hosts that do anything: every client gets one answer in time, no session has
-// two dials out, and what may run once is never sent again after it may have run.
-TEST_F(Node, KeepsTheRulesInRandomRuns) {
+// Many concurrent sessions on hosts that behave at random: every client gets one answer in time, no session
+// has two dials in progress, and a once-only session is never dialled again after it may have run.
+TEST_F(Node, KeepsTheDialRulesInRandomRuns) {
   std::mt19937_64 chance(11);
-  start_node(40);  // those that fail are passed over for a while
+  start_node(40);  // enough, as hosts that fail are avoided for a while
   struct Client {
     Peer peer;
     Steady::time_point until;
@@ -82,7 +84,7 @@
   };
   std::map<std::string, Client> clients;
   std::vector<Dial> dials;
-  std::set<std::string> out, may_have_run;
+  std::set<std::string> in_progress, may_have_run;
   unsigned ups = 0, answers = 0;
   const int count = 300;
   for (int begun = 0; begun < count || !clients.empty();) {
@@ -101,17 +103,17 @@
       bool gone = line[0] == '(' && line != "(nothing)";
       if (d.id.empty() && line.rfind("OPEN ", 0) == 0) {
         d.id = line.substr(5, line.find(' ', 5) - 5);
-        EXPECT_TRUE(out.insert(d.id).second) << "two dials of one session are out";
+        EXPECT_TRUE(in_progress.insert(d.id).second) << "two dials of one session are in progress";
         const auto c = clients.find(d.id);
-        EXPECT_FALSE(c != clients.end() && c->second.once && may_have_run.contains(d.id)) << "sent again";
+        EXPECT_FALSE(c != clients.end() && c->second.once && may_have_run.contains(d.id)) << "dialled again";
         const unsigned what = static_cast<unsigned>(chance() % 16);
-        out.erase(d.id);  // before the end that the node may see at once
+        in_progress.erase(d.id);  // before closing, as the node may react at once
         if (what != 1) may_have_run.insert(d.id);
         if (what == 0) d.peer.reset();
         if (what == 1) d.peer.send("BUSY\r\n");
         if (what == 2) d.peer.send("ERR\r\n");
         if (what == 3) d.peer.close();
-        if (what >= 4) out.insert(d.id);  // 4: silent
+        if (what >= 4) in_progress.insert(d.id);  // 4: silent
         if (what > 4) d.peer.send("UP r" + d.id + "\r\n");
         d.up = what > 4;
         gone = what == 0 || what == 3;
@@ -124,7 +126,7 @@
         gone = true;
       }
       if (gone) {
-        out.erase(d.id);
+        in_progress.erase(d.id);
         std::swap(d, dials.back());
         dials.pop_back();
       } else {
