--- a/tests/node_relay_test.cpp
+++ b/tests/node_relay_test.cpp
@@ -1,10 +1,10 @@
-// Accepted sessions: lines both ways, silence, the end of either side.
+// Accepted sessions: forwarding in both directions, silent hosts, the end of either side.
 #include "node_fixture.h"
 
 namespace flintweir::node_tests {
 namespace {
 
-TEST_F(Node, PassesLinesOnUnchangedAndRewritesTheTimeLeft) {
+TEST_F(Node, ForwardsLinesUnchangedAndRewritesTheTimeLeft) {
   start_node(1);
   Peer client = open_session("chat", 1900, ",g=5c,x=y");
   Peer host = next_dial().second;
@@ -26,11 +26,11 @@
   EXPECT_FALSE(program->wait_for_log("end host-ended").empty());
 }
 
-TEST_F(Node, EndsOneSideAsTheOtherEnds) {
+TEST_F(Node, EndsOneSideWhenTheOtherEnds) {
   start_node(4);
   auto [client, host] = accepted_session();
   client.send("last words\r\n");
-  client.shutdown_send();  // it still listens
+  client.shutdown_send();  // it still reads
   EXPECT_EQ(host.read_line(), "last words");
   EXPECT_EQ(host.read_line(), "(end)");
   host.send("understood\r\nBYE\r\n");
@@ -53,7 +53,8 @@
   EXPECT_FALSE(program->wait_for_log("end host-moved").empty());
 }
 
-// Half a line from a host was taken for a client that lags, and its client never moved.
+// A partial line in the host's input was mistaken for unsent output to a slow client, which suspended the
+// silence timeout, so that the client was never moved.
 TEST_F(Node, MovesAClientWhoseHostFallsSilentWithinALine) {
   start_node(1);
   auto [client, host] = accepted_session();
@@ -63,7 +64,7 @@
   EXPECT_FALSE(program->wait_for_log("end host-silent").empty());
 }
 
-// A host that is silent sends no reset: its client is moved, in time.
+// A silent host sends no reset, so the node has to detect it by a timeout and move the client.
 TEST_F(Node, MovesTheClientOfASilentHost) {
   start_node(1);
   auto [client, host] = accepted_session();
@@ -88,15 +89,15 @@
   std::string line(1022, 'z');
   line += "\r\n";
   std::size_t sent = 0, got = 0;
-  // Neither side of the node may take more than the kernel's buffers and its own hold.
+  // The node must not read more than its own and the kernel's buffers hold.
   for (auto quiet = Steady::now() + 500ms; Steady::now() < quiet;) {
     const std::size_t n = host.try_send(std::string_view(line).substr(sent % line.size()));
     if (n > 0) quiet = Steady::now() + 500ms;
     sent += n;
-    ASSERT_LT(sent, 64u << 20) << "the node takes without bound";
+    ASSERT_LT(sent, 64u << 20) << "the node buffers without bound";
   }
-  // A question that is answered, though the client does not read that yet: it is slow, its host is not
-  // silent.
+  // The host has replied, but the client does not read that yet: the client is slow, and the host must not
+  // count as silent.
   client.send("a question\r\n");
   EXPECT_EQ(host.read_line(), "a question");
   EXPECT_EQ(program->wait_for_log("end ", 5s), "");
@@ -109,12 +110,12 @@
   EXPECT_EQ(client.read_line(), "BYE");
 }
 
-TEST_F(Node, HandsOnAConnectionThatWasOpenBefore) {
+TEST_F(Node, DialsTheHostThatHoldsAnOpenSession) {
   start_node(2);
   Peer client = open_session("chat", 5000, ",at=s-1");
   Peer host = hosts[1].accept();
   host.read_line();
-  host.send("BUSY\r\n");  // not yet: only its holder can go on with it
+  host.send("BUSY\r\n");  // it is dialled again, as only the host that holds the session can continue it
   Peer host2 = hosts[1].accept();
   EXPECT_EQ(host2.read_line().substr(0, 19), "OPEN 1 7f c=chat,d=");
   host2.send("UP r1\r\n");
