--- a/tests/node_probes_test.cpp
+++ b/tests/node_probes_test.cpp
@@ -1,4 +1,4 @@
-// Probes: kept connections, left-overs, late answers.
+// Probes: persistent connections, unsolicited answers, late answers.
 #include "node_fixture.h"
 
 namespace flintweir::node_tests {
@@ -19,7 +19,7 @@
   Peer kept = next_dial().second;
   EXPECT_EQ(kept.read_line(), "STATS");
   kept.send("PONG x0=0.1\r\n");
-  // It ends with the host's place on a whole list.
+  // The connection is closed when a whole list lacks the host.
   Peer watch = discovery.accept();
   read_request(watch);
   respond(watch, list_json(2, true, ""));
@@ -28,19 +28,19 @@
   EXPECT_EQ(last, "(end)");
 }
 
-// Guards against an answer to nothing that lies on a kept connection and is taken for the next question's.
-TEST_F(Node, TakesNoLeftOverForTheAnswerOfAProbe) {
+// An unsolicited answer on a persistent connection must not be taken for the answer to the next probe.
+TEST_F(Node, IgnoresAnUnsolicitedAnswerToAProbe) {
   start_node(1, true);
   Peer probe = next_dial().second;
   EXPECT_EQ(probe.read_line(), "STATS");
   probe.send("PONG x0=0.1\r\nPONG x0=0.9\r\n");
-  Peer next = next_dial().second;  // asked anew on a connection of its own
+  Peer next = next_dial().second;  // on a new connection
   EXPECT_EQ(next.read_line(), "STATS");
   EXPECT_EQ(probe.read_line(), "(end)");
 }
 
-// Guards against hosts whose tables are full of connections kept for probes while sessions are turned away.
-TEST_F(Node, GivesUpTheConnectionKeptForProbesWhereAHostIsFull) {
+// Persistent probe connections must not fill a host's connection table while it turns sessions away.
+TEST_F(Node, ClosesTheProbeConnectionWhenAHostIsFull) {
   start_node(1, true);
   Peer probe = next_dial().second;
   EXPECT_EQ(probe.read_line(), "STATS");
@@ -50,7 +50,7 @@
   EXPECT_EQ(host.read_line().substr(0, 5), "OPEN ");
   host.send("BUSY\r\n");
   EXPECT_EQ(probe.read_line(), "(end)");
-  for (int i = 0; i < 2; ++i) {  // it asks on, by a connection for each question
+  for (int i = 0; i < 2; ++i) {  // probes go on, each on a connection of its own
     Peer next = next_dial().second;
     EXPECT_EQ(next.read_line(), "STATS");
     next.send("PONG x0=0.1\r\n");
@@ -58,13 +58,15 @@
   }
 }
 
-// Late answers mean work piled up at a host, whatever load it reports: it gets nothing new for a while.
-TEST_F(Node, TellsTheModuleOfLateAnswers) {
+// Late replies to messages show a backlog at a host, whatever load it reports, so it gets no new sessions for
+// a while.
+TEST_F(Node, ReportsLateRepliesToTheBalancer) {
   start_node(2, true);
   std::vector<Peer> probes;
-  // Answers probes for so long, or until a host is dialled.
-  const auto next = [&](Steady::duration within) -> std::pair<std::size_t, Peer> {
-    for (const auto until = Steady::now() + within; Steady::now() < until; wait_readable(-1, 1ms)) {
+  // Answers probes until a host is dialled, and returns its index and the connection, or until the time is
+  // over.
+  const auto next = [&](Steady::duration timeout) -> std::pair<std::size_t, Peer> {
+    for (const auto until = Steady::now() + timeout; Steady::now() < until; wait_readable(-1, 1ms)) {
       for (Peer& p : probes) {
         if (wait_readable(p.fd(), 0ms) && p.read_line() == "STATS") p.send("PONG util=0.3,x0=0.3\r\n");
       }
