--- a/src/line/reason.cpp
+++ b/src/line/reason.cpp
@@ -40,8 +40,8 @@
   return "unknown";
 }
 
-const char* code_of(DialOutcome how) {
-  switch (how) {
+const char* code_of(DialOutcome outcome) {
+  switch (outcome) {
     case DialOutcome::completed:
       return "dial-finished";
     case DialOutcome::error_reply:
@@ -62,8 +62,8 @@
   return "dial-unknown";
 }
 
-const char* code_of(RefusalReason why) {
-  switch (why) {
+const char* code_of(RefusalReason reason) {
+  switch (reason) {
     case RefusalReason::no_host:
       return "no-host";
     case RefusalReason::fleet_full:
