--- a/src/line/connection_ids.h
+++ b/src/line/connection_ids.h
@@ -1,4 +1,4 @@
-// The ids that clients give their connections.
+// The ids that clients choose for their connections.
 #pragma once
 
 #include <algorithm>
@@ -13,9 +13,10 @@
 
 namespace flintweir::line {
 
-using ConnectionId = Id<struct ConnectionIdTag, std::uint64_t>;  // as a client's first line says
+using ConnectionId = Id<struct ConnectionIdTag, std::uint64_t>;  // from a client's first line
 
-// An id as its client wrote it, for log lines: "-" where none came, cut where it is longer than ids are.
+// An id as its client wrote it, for log lines: "-" if none was read, truncated to 32 characters, which no
+// proper id exceeds.
 class LoggedId {
  public:
   LoggedId() : LoggedId("-") {}
@@ -30,28 +31,32 @@
   std::array<char, 33> text_;
 };
 
-// Ids are new with every connection. Guards against one that comes again, while its connection lasts or
-// after: hosts answer that with an error for which they are not to blame.
+// The ids in use and the most recently retired ones. Clients must choose a new id for every connection. A
+// duplicate is rejected here, both while its connection lasts and for some time after, because hosts answer
+// duplicates with an error, which would count against a healthy host.
 class ConnectionIds {
  public:
-  explicit ConnectionIds(std::size_t kept) : kept_(kept) { ids_.reserve(2 * kept); }
+  explicit ConnectionIds(std::size_t max_retired) : max_retired_(max_retired) {
+    ids_.reserve(2 * max_retired);
+  }
 
-  bool claim(ConnectionId id) {  // false: it is in use, or was lately
-    if (spare_.empty()) return ids_.insert(id).second;
-    Set::node_type& place = spare_.back();
-    place.value() = id;
-    if (auto done = ids_.insert(std::move(place)); !done.inserted) {
-      place = std::move(done.node);
+  // Returns false if the id is in use or was retired recently.
+  bool claim(ConnectionId id) {
+    if (free_nodes_.empty()) return ids_.insert(id).second;
+    Set::node_type& node = free_nodes_.back();
+    node.value() = id;
+    if (auto inserted = ids_.insert(std::move(node)); !inserted.inserted) {
+      node = std::move(inserted.node);
       return false;
     }
-    spare_.pop_back();
+    free_nodes_.pop_back();
     return true;
   }
-  // Its connection is over: it is forgotten when so many others are over as well.
+  // Ends the use of an id. It can be claimed again once `max_retired` other ids have been retired after it.
   void retire(ConnectionId id) {
-    if (retired_.size() < kept_) return retired_.push_back(id);
-    if (auto place = ids_.extract(std::exchange(retired_[next_++ % kept_], id)); !place.empty())
-      spare_.push_back(std::move(place));
+    if (retired_.size() < max_retired_) return retired_.push_back(id);
+    if (auto node = ids_.extract(std::exchange(retired_[next_retired_++ % max_retired_], id)); !node.empty())
+      free_nodes_.push_back(std::move(node));
   }
 
  private:
@@ -59,10 +64,10 @@
     std::size_t operator()(ConnectionId id) const { return id.value; }
   };
   using Set = std::unordered_set<ConnectionId, Hash>;
-  std::size_t kept_, next_ = 0;
+  std::size_t max_retired_, next_retired_ = 0;
   Set ids_;
-  std::vector<Set::node_type> spare_;
-  std::vector<ConnectionId> retired_;
+  std::vector<Set::node_type> free_nodes_;  // set nodes for reuse, so that claim() need not allocate
+  std::vector<ConnectionId> retired_;       // a ring buffer once it is full
 };
 
 }  // namespace flintweir::line
