--- a/src/line/protocol.cpp
+++ b/src/line/protocol.cpp
@@ -10,9 +10,10 @@
 namespace flintweir::line {
 namespace {
 
-// Takes the text up to `mark` off the front of `rest`.
-std::string_view cut(std::string_view& rest, char mark) {
-  const std::size_t end = std::min(rest.find(mark), rest.size());
+// Removes the text up to and including the first `separator` from the front of `rest` and returns it without
+// the separator; without one, removes and returns everything.
+std::string_view split_front(std::string_view& rest, char separator) {
+  const std::size_t end = std::min(rest.find(separator), rest.size());
   const std::string_view first = rest.substr(0, end);
   rest.remove_prefix(std::min(end + 1, rest.size()));
   return first;
@@ -22,88 +23,95 @@
   return std::all_of(text.begin(), text.end(), [](char c) { return c >= ' ' && c <= '~'; });
 }
 
-// An id or a key: names and values have an equals sign.
+// Whether `text` can be an id or a key. An equals sign would make it one of the name=value fields.
 bool is_word(std::string_view text) { return !text.empty() && text.find('=') == text.npos; }
 
-constexpr std::int64_t kMostMillis = 1'000'000'000'000;  // so that it can be told in microseconds
+constexpr std::int64_t kMaxTimeLeftMs = 1'000'000'000'000;  // in microseconds it still fits in 64 bits
 
 }  // namespace
 
-std::optional<double> number(std::string_view text) {
+std::optional<double> parse_number(std::string_view text) {
   double out;
   const auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), out);
   if (ec != std::errc{} || end != text.data() + text.size() || !std::isfinite(out)) return std::nullopt;
   return out;
 }
 
-std::string_view id_word(std::string_view line) {
+std::string_view loggable_id(std::string_view line) {
   if (!printable(line)) return "-";
-  cut(line, ' ');
-  const std::string_view id = cut(line, ' ');
+  split_front(line, ' ');
+  const std::string_view id = split_front(line, ' ');
   return is_word(id) ? id : "-";
 }
 
-// Whatever a host might not read is turned away here: passed on, it would cost that host's good name.
-bool OpenLineParser::parse(std::string_view line, Micros now, SessionRequest& taken, ConnectionId& given,
-                           std::string_view& at, std::string_view& time_left) const {
-  constexpr double kMost = 1e9;
-  if (!printable(line) || cut(line, ' ') != "OPEN") return false;
-  const std::string_view id = cut(line, ' '), key = cut(line, ' ');
-  if (!is_word(id) || !is_word(key) || line.find(' ') != line.npos || line.ends_with(',')) return false;
-  given = ConnectionId{setup::hash_name(id)};
-  taken.client = ClientKey{setup::parse_key(key)};
-  unsigned seen = 0;
-  const auto once = [&](unsigned bit) { return !(std::exchange(seen, seen | bit) & bit); };
+// Strict: a line that a host might reject as malformed must not be forwarded, since the host's error answer
+// would count against the host.
+bool OpenLineParser::parse(std::string_view line, Micros now, SessionRequest& request, ConnectionId& id,
+                           std::string_view& current_host, std::string_view& time_left) const {
+  constexpr double kMaxNumber = 1e9;
+  if (!printable(line) || split_front(line, ' ') != "OPEN") return false;
+  const std::string_view id_text = split_front(line, ' '), key = split_front(line, ' ');
+  if (!is_word(id_text) || !is_word(key) || line.find(' ') != line.npos || line.ends_with(',')) return false;
+  id = ConnectionId{setup::hash_name(id_text)};
+  request.client = ClientKey{setup::parse_key(key)};
+  unsigned fields_seen = 0;
+  const auto first_time = [&](unsigned bit) {
+    return !(std::exchange(fields_seen, fields_seen | bit) & bit);
+  };
   const auto flag = [](std::string_view value, bool& out) {
     out = value == "1";
     return out || value == "0";
   };
-  std::int64_t millis = -1;
+  std::int64_t time_left_ms = -1;
   do {
-    std::string_view value = cut(line, ',');
-    const std::string_view name = cut(value, '=');
+    std::string_view value = split_front(line, ',');
+    const std::string_view name = split_front(value, '=');
     if (name.empty() || value.empty()) return false;
     if (name == "c") {
       const auto found = std::find(listeners_.begin(), listeners_.end(), value);
-      if (found == listeners_.end() || !once(1)) return false;
-      taken.listener.value = static_cast<std::uint32_t>(found - listeners_.begin());
+      if (found == listeners_.end() || !first_time(1)) return false;
+      request.listener.value = static_cast<std::uint32_t>(found - listeners_.begin());
     } else if (name == "d") {
-      const auto [end, ec] = std::from_chars(value.data(), value.data() + value.size(), millis);
-      if (ec != std::errc{} || end != value.data() + value.size() || millis < 0 || !once(2)) return false;
+      const auto [end, ec] = std::from_chars(value.data(), value.data() + value.size(), time_left_ms);
+      if (ec != std::errc{} || end != value.data() + value.size() || time_left_ms < 0 || !first_time(2))
+        return false;
       time_left = value;
     } else if (name == "g") {
-      if (!once(4)) return false;
+      if (!first_time(4)) return false;
       if (groups_)
-        taken.group = GroupId{setup::parse_key(value)};
+        request.group = GroupId{setup::parse_key(value)};
       else
-        taken.client = ClientKey{setup::parse_key(value)};
+        request.client = ClientKey{setup::parse_key(value)};
     } else if (name == "r") {
-      if (!flag(value, taken.is_retry)) return false;
+      if (!flag(value, request.is_retry)) return false;
     } else if (name == "again") {
-      if (!flag(value, taken.is_reconnect)) return false;
+      if (!flag(value, request.is_reconnect)) return false;
     } else if (name == "at") {
-      if (!once(8)) return false;
-      at = value;
+      if (!first_time(8)) return false;
+      current_host = value;
     } else if (name == "h" || name == "billing") {
-      const auto n = number(value);
-      if (!n || *n < 0 || *n > kMost) return false;
+      const auto n = parse_number(value);
+      if (!n || *n < 0 || *n > kMaxNumber) return false;
       if (name == "h")
-        taken.expected_load = *n;
+        request.expected_load = *n;
       else
-        taken.tenant.value = static_cast<std::uint32_t>(*n);
+        request.tenant.value = static_cast<std::uint32_t>(*n);
     }
   } while (!line.empty());
-  if (!(seen & 1)) return false;
-  const Micros most = dial_timeouts_[taken.listener.value];
-  const Micros wait = seen & 2 ? Micros(std::chrono::milliseconds(std::min(millis, kMostMillis))) : most;
-  // One that is open already may be long in coming; nobody else waits longer than the listener has it.
-  taken.deadline = now + (at.empty() ? std::min(wait, most) : wait);
+  if (!(fields_seen & 1)) return false;
+  const Micros dial_timeout = dial_timeouts_[request.listener.value];
+  const Micros wait = fields_seen & 2
+                          ? Micros(std::chrono::milliseconds(std::min(time_left_ms, kMaxTimeLeftMs)))
+                          : dial_timeout;
+  // A client with a session that is already open may wait as long as it says; any other waits no longer than
+  // its listener's dial timeout.
+  request.deadline = now + (current_host.empty() ? std::min(wait, dial_timeout) : wait);
   return true;
 }
 
 HostMessage parse_host_message(std::string_view line, std::string_view& rest) {
   rest = line;
-  const std::string_view word = cut(rest, ' ');
+  const std::string_view word = split_front(rest, ' ');
   constexpr std::array<std::pair<std::string_view, HostMessage>, 7> words{{{"UP", HostMessage::up},
                                                                            {"BYE", HostMessage::bye},
                                                                            {"MOVE", HostMessage::move},
@@ -111,8 +119,8 @@
                                                                            {"BUSY", HostMessage::busy},
                                                                            {"LOAD", HostMessage::load},
                                                                            {"PONG", HostMessage::pong}}};
-  for (const auto& [text, says] : words) {
-    if (word == text) return says;
+  for (const auto& [text, message] : words) {
+    if (word == text) return message;
   }
   return HostMessage::other;
 }
@@ -120,9 +128,9 @@
 LoadReport parse_load_report(std::string_view text) {
   LoadReport report;
   while (!text.empty()) {
-    std::string_view value = cut(text, ',');
-    const std::string_view name = cut(value, '=');
-    if (const auto n = number(value)) setup::set_report_field(report, name, *n);
+    std::string_view value = split_front(text, ',');
+    const std::string_view name = split_front(value, '=');
+    if (const auto n = parse_number(value)) setup::set_report_field(report, name, *n);
   }
   return report;
 }
--- a/src/line/proxy_session.cpp
+++ b/src/line/proxy_session.cpp
@@ -38,7 +38,7 @@
 
 void ProxySession::head_came(std::string_view line) {
   began_ = sessions_.timers_.now();
-  logged_id_ = LoggedId(id_word(line));
+  logged_id_ = LoggedId(loggable_id(line));
   std::string_view at;
   ConnectionId id;
   if (!sessions_.heads_.parse(line, began_, taken_, id, at, time_left_))
--- a/src/line/relay.cpp
+++ b/src/line/relay.cpp
@@ -74,7 +74,7 @@
     bye_ = says == HostMessage::bye;
     sent_away_ = sent_away_ || says == HostMessage::move;
     if (says == HostMessage::load) {
-      if (const auto load = number(rest); load && *load >= 0) owner_.load_is(*load);
+      if (const auto load = parse_number(rest); load && *load >= 0) owner_.load_is(*load);
     } else if (says != HostMessage::up && asked_at_ != Micros{0}) {
       owner_.message_took(timers_.now() - std::exchange(asked_at_, Micros{0}));
     }
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -67,7 +67,7 @@
     bytes.consume(gone);
     seen_ -= std::min(seen_, gone);")
 flintweir_flaw(late-answer mix answer src/line/protocol.cpp
-  "taken.deadline = now + " "taken.deadline = now + std::chrono::milliseconds(400) + ")
+  "request.deadline = now + " "request.deadline = now + std::chrono::milliseconds(400) + ")
 flintweir_flaw(session-leak all_drop ended src/line/relay.cpp
   "    host_->abort();
     return close();" "    return close();"
