--- a/src/line/client_conn.cpp
+++ b/src/line/client_conn.cpp
@@ -8,7 +8,7 @@
   pinged_ = false;
   unsaid_begin_ = unsaid_end_ = 0;
   head_ = {};
-  idle_.enter(*this);
+  idle_.add(*this);
   timers_.schedule(first_line_within_, *this, ++token_);
   stream_.read();  // under a flood of others its line has long come
 }
@@ -39,7 +39,7 @@
       if (next.starts_with("OPEN ") || next.starts_with("PING")) return fail();
       phase_ = Phase::waiting;
       ++token_;
-      idle_.leave(*this);
+      idle_.remove(*this);
       // Dials send the line from where it lies: it must not move when more comes in behind it.
       stream_.input().compact();
       head_ = stream_.input().buffered().substr(0, line->size());
@@ -96,7 +96,7 @@
   phase_ = Phase::lingering;
   drained_ = drained_seen_ = 0;
   drained_until_ = timers_.now() + kDrain;
-  idle_.enter(*this);
+  idle_.add(*this);
   timers_.schedule(stream_.at_eof() ? Micros{0} : kLinger, *this, ++token_);
   stream_.want_read();
 }
@@ -145,7 +145,7 @@
 void ClientConn::close() {
   phase_ = Phase::idle;
   ++token_;
-  idle_.leave(*this);
+  idle_.remove(*this);
   stream_.close();
   owner_.client_closed();
 }
--- a/src/line/idle_clients.h
+++ b/src/line/idle_clients.h
@@ -1,5 +1,5 @@
-// Clients' connections that hold a descriptor and ask for nothing: before their first line, after their
-// answer.
+// A bounded set of client connections that hold a descriptor without a session: those that have not sent
+// their first line, and those that have been answered and are not closed yet.
 #pragma once
 
 #include <cstddef>
@@ -17,32 +17,35 @@
 
  private:
   friend class IdleClients;
-  virtual void evict() = 0;  // must leave at once
-  IdleClient *before_ = this, *after_ = this;
+  virtual void evict() = 0;  // must call remove() before it returns
+  IdleClient *prev_ = this, *next_ = this;
 };
 
-// Holds so many; one more and the one that came first goes. Guards against hundreds of connections that say
-// nothing: they push out one another, while a usual client says its line long before its turn has come.
+// An intrusive list, oldest first. Adding a client beyond `max_size` evicts the oldest one. Hundreds of
+// connections that send nothing thus evict only one another, whereas an ordinary client sends its line long
+// before it becomes the oldest.
 class IdleClients {
  public:
-  explicit IdleClients(std::size_t most) : most_(most) {}
-  void enter(IdleClient& client) {
-    leave(client);
-    client.before_ = head_.before_;
-    client.after_ = &head_;
-    client.before_->after_ = head_.before_ = &client;
-    if (++size_ > most_) evict_oldest();
+  explicit IdleClients(std::size_t max_size) : max_size_(max_size) {}
+  void add(IdleClient& client) {
+    remove(client);
+    client.prev_ = head_.prev_;
+    client.next_ = &head_;
+    client.prev_->next_ = head_.prev_ = &client;
+    if (++size_ > max_size_) evict_oldest();
   }
-  void leave(IdleClient& client) {
-    if (client.after_ == &client) return;
-    client.before_->after_ = client.after_;
-    client.after_->before_ = client.before_;
-    client.before_ = client.after_ = &client;
+  // Does nothing if the client is not in the list.
+  void remove(IdleClient& client) {
+    if (client.next_ == &client) return;
+    client.prev_->next_ = client.next_;
+    client.next_->prev_ = client.prev_;
+    client.prev_ = client.next_ = &client;
     --size_;
   }
-  bool evict_oldest() {  // false: nobody is here
+  // Returns false if the list is empty.
+  bool evict_oldest() {
     if (size_ == 0) return false;
-    head_.after_->evict();
+    head_.next_->evict();
     return true;
   }
 
@@ -51,7 +54,7 @@
     void evict() override {}
   };
   Head head_;
-  std::size_t most_, size_ = 0;
+  std::size_t max_size_, size_ = 0;
 };
 
 }  // namespace flintweir::line
