--- a/src/line/host_table.h
+++ b/src/line/host_table.h
@@ -1,4 +1,4 @@
-// Where hosts are reached: what the list says of them beside what the module is told.
+// Names and addresses of hosts by id. The balancer works with ids only.
 #pragma once
 
 #include <string>
@@ -14,26 +14,28 @@
  public:
   struct Host {
     std::string name;
-    Address at;
-    bool late = false;  // its messages are
-    Micros late_told{0};
+    Address address;
+    bool messages_late = false;  // the last measured message delay was too long
+    Micros late_reported_at{0};  // when a late message was last reported to the balancer
   };
   const Host* find(HostId id) const {
     const auto it = hosts_.find(id.value);
     return it == hosts_.end() ? nullptr : &it->second;
   }
   Host* find(HostId id) { return const_cast<Host*>(std::as_const(*this).find(id)); }
+  // For log lines: "-" for an unknown host. Valid until the host is updated or removed.
   const char* name(HostId id) const {
     const Host* h = find(id);
     return h ? h->name.c_str() : "-";
   }
-  void update(HostId id, std::string_view name, const Address& at) {
+  void update(HostId id, std::string_view name, const Address& address) {
     Host& host = hosts_[id.value];
     if (host.name != name) host.name = name;
-    host.at = at;
+    host.address = address;
   }
-  // The module has dropped it: what the list lacks may still be of use to it.
-  void forget(HostId id) { hosts_.erase(id.value); }
+  // Called when the balancer has forgotten the host. A host that is merely missing from the list may still be
+  // dialled.
+  void remove(HostId id) { hosts_.erase(id.value); }
 
  private:
   std::unordered_map<std::uint64_t, Host> hosts_;
--- a/src/line/proxy_session.cpp
+++ b/src/line/proxy_session.cpp
@@ -70,7 +70,7 @@
   if (dials_ > 1)
     log_line("retry id=%s host=%s dials=%u", logged_id_.text(), sessions_.hosts_.name(host), dials_);
   if (!h || !sessions_.has_room()) return host_.fail();
-  host_.dial(h->at, client_.head(), time_left_, limit);
+  host_.dial(h->address, client_.head(), time_left_, limit);
 }
 
 // A connection that was open before this node's: only its holder can go on with it.
--- a/src/line/sessions.cpp
+++ b/src/line/sessions.cpp
@@ -63,12 +63,12 @@
 
 void Sessions::probe(HostId host) {
   const HostTable::Host* h = hosts_.find(host);
-  probes_.ask(host, h && sockets_.has_room(kSpare / 2) ? &h->at : nullptr);
+  probes_.ask(host, h && sockets_.has_room(kSpare / 2) ? &h->address : nullptr);
 }
 
 void Sessions::forget_host(HostId host) {
   probes_.forget(host);
-  hosts_.forget(host);
+  hosts_.remove(host);
 }
 
 void Sessions::probed(HostId host, DialOutcome how, Micros took, const LoadReport& report) {
@@ -94,11 +94,11 @@
   HostTable::Host* h = hosts_.find(host);
   if (!h || message_target_ == 0us) return false;
   const bool late = delay > message_target_ / 3;
-  if (!late) return std::exchange(h->late, false);
+  if (!late) return std::exchange(h->messages_late, false);
   const Micros now = timers_.now();
-  if (h->late && now - h->late_told < 1s) return false;
-  h->late = true;
-  h->late_told = now;
+  if (h->messages_late && now - h->late_reported_at < 1s) return false;
+  h->messages_late = true;
+  h->late_reported_at = now;
   return true;
 }
 
