--- a/src/line/probes.h
+++ b/src/line/probes.h
@@ -1,4 +1,4 @@
-// Asks hosts for their load, over one kept connection a host.
+// Probes: requests for a host's load report, over one persistent connection for each host.
 #pragma once
 
 #include <unordered_map>
@@ -15,54 +15,61 @@
 
 class Probes {
  public:
-  class Told {
+  class Events {
    public:
-    virtual void probed(HostId host, DialOutcome how, Micros took, const LoadReport& report) = 0;
+    virtual void on_probe_ended(HostId host, DialOutcome outcome, Micros duration,
+                                const LoadReport& report) = 0;
 
    protected:
-    ~Told() = default;
+    ~Events() = default;
   };
-  Probes(Sockets& sockets, TimerQueue& timers, Micros answer_within, Told& told)
-      : sockets_(sockets), timers_(timers), answer_within_(answer_within), told_(told) {}
+  Probes(Sockets& sockets, TimerQueue& timers, Micros timeout, Events& events)
+      : sockets_(sockets), timers_(timers), timeout_(timeout), events_(events) {}
 
-  // Answered by one call of probed(), in a later turn.
-  void ask(HostId host, const Address* at);
-  void forget(HostId host);
-  // The host may be short of connections: sessions go first. None is kept open there for a while.
-  void give_way(HostId host);
+  // Starts a probe, which ends with one call of on_probe_ended() in a later turn of the event loop. While a
+  // probe of the host is pending, this does nothing: its end serves both calls. A null `address` makes it
+  // fail unless a connection is open.
+  void start(HostId host, const Address* address);
+  // Drops the host and closes its connection, without a callback.
+  void remove(HostId host);
+  // Closes the host's connection when it is idle and keeps none open for a while: the host may be short of
+  // connections, and sessions take precedence.
+  void stop_keeping_connection(HostId host);
 
  private:
   class Probe final : StreamEvents, TimerEvents {
    public:
     explicit Probe(Probes& probes) : probes_(probes), stream_(probes.sockets_) {}
-    void ask(HostId host, const Address* at);
-    void drop();
-    void give_way();
+    void start(HostId host, const Address* address);
+    void abort();
+    void stop_keeping_connection();
 
    private:
     void connected(Stream&, ConnectResult result) override;
     void input_ready(Stream&) override;
-    void writable(Stream&) override { send_rest(); }
+    void writable(Stream&) override { send_remaining(); }
     void broken(Stream&) override;
     void timer_expired(std::uint64_t token) override;
     void send();
-    void send_rest();
-    void end(DialOutcome how, const LoadReport& report);
+    void send_remaining();
+    void finish(DialOutcome outcome, const LoadReport& report);
 
     Probes& probes_;
     Stream stream_;
     HostId host_;
-    Address at_;
-    Micros asked_at_{0}, keeps_from_{0};
-    std::uint64_t token_ = 0;
+    Address address_;
+    Micros started_at_{0};
+    Micros keep_from_{0};      // before this time, the connection is closed after each answer
+    std::uint64_t token_ = 0;  // of the timer in force
     std::size_t sent_ = 0;
-    bool asking_ = false, kept_ = false;  // kept: the connection has answered before
+    bool pending_ = false;
+    bool reused_ = false;  // the request went out on a connection kept from an earlier probe
   };
 
   Sockets& sockets_;
   TimerQueue& timers_;
-  Micros answer_within_;
-  Told& told_;
+  Micros timeout_;
+  Events& events_;
   Slab<Probe> probes_;
   std::unordered_map<std::uint64_t, SlabKey> by_host_;
 };
--- a/src/line/proxy_session.cpp
+++ b/src/line/proxy_session.cpp
@@ -142,7 +142,8 @@
 
 void ProxySession::dial_ended(DialOutcome how) {
   log_end(code_of(how));
-  if (how == DialOutcome::rejected || how == DialOutcome::connect_failed) sessions_.probes_.give_way(at_);
+  if (how == DialOutcome::rejected || how == DialOutcome::connect_failed)
+    sessions_.probes_.stop_keeping_connection(at_);
   if (!inherited_) {
     sessions_.balancer_now();
     return handle_.dial_ended(dial_no(), how, false);
--- a/src/line/sessions.cpp
+++ b/src/line/sessions.cpp
@@ -63,15 +63,15 @@
 
 void Sessions::probe(HostId host) {
   const HostTable::Host* h = hosts_.find(host);
-  probes_.ask(host, h && sockets_.has_room(kSpare / 2) ? &h->address : nullptr);
+  probes_.start(host, h && sockets_.has_room(kSpare / 2) ? &h->address : nullptr);
 }
 
 void Sessions::forget_host(HostId host) {
-  probes_.forget(host);
+  probes_.remove(host);
   hosts_.remove(host);
 }
 
-void Sessions::probed(HostId host, DialOutcome how, Micros took, const LoadReport& report) {
+void Sessions::on_probe_ended(HostId host, DialOutcome how, Micros took, const LoadReport& report) {
   if (how != DialOutcome::completed) log_line("end probe-failed host=%s", hosts_.name(host));
   balancer_now().probe_ended(host, how, took, report);
 }
--- a/src/line/sessions.h
+++ b/src/line/sessions.h
@@ -17,7 +17,7 @@
   Micros longest_stay_away;  // zero where clients cannot be told when to come back
 };
 
-class Sessions final : public BalancerDelegate, Probes::Told {
+class Sessions final : public BalancerDelegate, Probes::Events {
  public:
   class Events {
    public:
@@ -62,7 +62,7 @@
     Sessions& sessions;
     void (Sessions::*call)(std::uint64_t);
   };
-  void probed(HostId host, DialOutcome how, Micros took, const LoadReport& report) override;
+  void on_probe_ended(HostId host, DialOutcome how, Micros took, const LoadReport& report) override;
   void wake_module(std::uint64_t wake) { balancer_now().timer_expired(TimerId{wake}); }
   void dial_again(std::uint64_t key);
   void move_next(std::uint64_t);
