--- a/src/line/client_conn.h
+++ b/src/line/client_conn.h
@@ -1,4 +1,5 @@
-// A client's connection up to its session's acceptance: the first line, the answer, the end.
+// A client's connection until its session is accepted or answered: reads the first line, sends the answer and
+// closes.
 #pragma once
 
 #include <array>
@@ -12,71 +13,83 @@
 
 using namespace net;
 
-class ClientOwner {
+class ClientConnEvents {
  public:
-  virtual bool taking() const = 0;  // whether fronts are told that this node takes clients
-  virtual void head_came(std::string_view line) = 0;
-  virtual void client_left() = 0;                 // after its first line, before any answer
-  virtual void client_closed() = 0;               // all is over, the place may be used again
-  virtual void client_failed(Reason reason) = 0;  // before a first line came; closes soon
+  // Whether health checks (PING) are answered and new clients taken; false while this node shuts down.
+  virtual bool accepting_clients() const = 0;
+  // `line` lacks its line end. It stays valid until the stream is released or the client is answered.
+  virtual void on_first_line(std::string_view line) = 0;
+  virtual void on_client_left() = 0;                 // after its first line, before any answer
+  virtual void on_client_closed() = 0;               // the connection is closed; the object may be reused
+  virtual void on_client_failed(Reason reason) = 0;  // before a first line came; on_client_closed() follows
 
  protected:
-  ~ClientOwner() = default;
+  ~ClientConnEvents() = default;
 };
 
 class ClientConn final : StreamEvents, TimerEvents, IdleClient {
  public:
-  ClientConn(Sockets& sockets, TimerQueue& timers, IdleClients& idle, Micros first_line_within,
-             ClientOwner& owner)
+  ClientConn(Sockets& sockets, TimerQueue& timers, IdleClients& idle_clients, Micros first_line_timeout,
+             ClientConnEvents& events)
       : stream_(sockets),
         timers_(timers),
-        idle_(idle),
-        first_line_within_(first_line_within),
-        owner_(owner) {}
+        idle_clients_(idle_clients),
+        first_line_timeout_(first_line_timeout),
+        events_(events) {}
 
-  void begin(SocketKey socket);
-  std::string_view head() const { return head_; }  // where it lies in the buffer
-  // Whether it still waits, looked at anew; where not, its owner has been told.
-  bool still_waits();
-  // The final answer; the connection is closed once the client has had time to read it.
+  // Takes ownership of `socket`.
+  void start(SocketKey socket);
+  // The first line with its line end, as a view into the input buffer.
+  std::string_view first_line() const { return first_line_; }
+  // Reads what has arrived and returns whether the client still waits for its answer. If it has left,
+  // on_client_left() has been called.
+  bool check_waiting();
+  // Sends the final answer. The connection is closed once the client has had time to read it.
   void answer(std::string_view line);
-  Stream& accepted();  // from now on another's
+  // Returns the stream, without the first line, for the caller to use from now on. It remains owned by this
+  // object.
+  Stream& release_stream();
 
  private:
-  enum class Phase { idle, head, waiting, lingering, given };
+  enum class Phase { idle, first_line, waiting, lingering, released };
   void input_ready(Stream&) override;
   void writable(Stream&) override;
   void broken(Stream&) override;
   void timer_expired(std::uint64_t token) override;
   void evict() override;
-  void look_for_head();
-  bool gone() { return stream_.at_eof() || stream_.input().full(); }
-  void fail();
-  bool say(std::string_view text);  // false: the connection is broken, or there is no place for it
+  void find_first_line();
+  bool input_ended_or_full() { return stream_.at_eof() || stream_.input().full(); }
+  void reject_first_line();
+  // Queues `text` and writes what the kernel takes. Returns false if the connection is broken or the queue
+  // has no room.
+  bool send(std::string_view text);
   bool flush();
-  bool all_out() const { return unsaid_begin_ == unsaid_end_; }
+  bool all_sent() const { return unsent_begin_ == unsent_end_; }
   void close();
 
   Stream stream_;
   TimerQueue& timers_;
-  IdleClients& idle_;
-  Micros first_line_within_;
-  ClientOwner& owner_;
+  IdleClients& idle_clients_;
+  Micros first_line_timeout_;
+  ClientConnEvents& events_;
   Phase phase_ = Phase::idle;
-  std::uint64_t token_ = 0;
+  std::uint64_t token_ = 0;  // of the timer in force
   bool pinged_ = false;
-  // What the other side has not taken yet of what was said to it: one line, as the next waits for it.
-  std::array<char, 48> unsaid_{};
-  std::size_t unsaid_begin_ = 0, unsaid_end_ = 0;
-  std::size_t drained_ = 0, drained_seen_ = 0;  // bytes that came after the answer, now and when last looked
-  Micros drained_until_{0};                     // the latest that more may come
-  std::string_view head_;
+  // Output that the kernel has not taken yet. It holds one line, since the next input line is read only when
+  // the output is empty.
+  std::array<char, 48> unsent_{};
+  std::size_t unsent_begin_ = 0, unsent_end_ = 0;
+  // Bytes received after the answer: in all, and until the previous check.
+  std::size_t discarded_ = 0, discarded_before_ = 0;
+  Micros discard_deadline_{0};
+  std::string_view first_line_;
 };
 
-inline constexpr Micros kLinger = std::chrono::seconds(1);  // for the other side to end as well
-// A client that goes on sending after its answer is read for so long and so much: it may look for the answer
-// only when it has sent all it has.
-inline constexpr Micros kDrain = 5 * kLinger;
-inline constexpr std::size_t kMostDrained = 64u << 20;
+// How long a side that has been sent everything may take to close its own direction.
+inline constexpr Micros kLingerTime = std::chrono::seconds(1);
+// Limits on reading from a client that goes on sending after its answer. Some clients read the answer only
+// when they have sent everything.
+inline constexpr Micros kMaxDiscardTime = 5 * kLingerTime;
+inline constexpr std::size_t kMaxDiscardBytes = 64u << 20;
 
 }  // namespace flintweir::line
--- a/src/line/proxy_session.cpp
+++ b/src/line/proxy_session.cpp
@@ -31,12 +31,12 @@
   dials_ = 0;
   inherited_ = answered_ = open_ = false;
   began_ = sessions_.timers_.now();
-  client_.begin(socket);
+  client_.start(socket);
 }
 
-bool ProxySession::taking() const { return !sessions_.leaving_; }
+bool ProxySession::accepting_clients() const { return !sessions_.leaving_; }
 
-void ProxySession::head_came(std::string_view line) {
+void ProxySession::on_first_line(std::string_view line) {
   began_ = sessions_.timers_.now();
   logged_id_ = LoggedId(loggable_id(line));
   std::string_view at;
@@ -70,7 +70,7 @@
   if (dials_ > 1)
     log_line("retry id=%s host=%s dials=%u", logged_id_.text(), sessions_.hosts_.name(host), dials_);
   if (!h || !sessions_.has_room()) return host_.fail();
-  host_.dial(h->address, client_.head(), time_left_, limit);
+  host_.dial(h->address, client_.first_line(), time_left_, limit);
 }
 
 // A connection that was open before this node's: only its holder can go on with it.
@@ -88,7 +88,7 @@
   if (open_) relay_.move(why);
 }
 
-void ProxySession::client_left() {
+void ProxySession::on_client_left() {
   if (answered_) return;
   ++sessions_.clients_gone_;
   const bool dialling = host_.out();
@@ -102,12 +102,12 @@
   answer("ERR\r\n", Reason::left);
 }
 
-void ProxySession::client_failed(Reason reason) {
+void ProxySession::on_client_failed(Reason reason) {
   answered_ = true;
   log_end(code_of(reason));
 }
 
-void ProxySession::client_closed() { free(); }
+void ProxySession::on_client_closed() { free(); }
 
 void ProxySession::free() {
   if (id_) sessions_.ids_.retire(*std::exchange(id_, std::nullopt));
@@ -115,7 +115,7 @@
 }
 
 bool ProxySession::client_waits() {
-  if (client_.still_waits()) return true;
+  if (client_.check_waiting()) return true;
   ++sessions_.dials_not_begun_;
   return false;
 }
@@ -135,7 +135,7 @@
     handle_ = balancer.adopt_session(SessId{key_.packed()}, taken_, at_);
   else
     handle_.dial_accepted(dial_no());
-  relay_.start(client_.accepted(), host_.accepted());
+  relay_.start(client_.release_stream(), host_.accepted());
   // Too late for its turn among the others.
   if (sessions_.leaving_ && sessions_.timers_.now() >= sessions_.move_from_) move(Reason::restarting);
 }
--- a/src/line/proxy_session.h
+++ b/src/line/proxy_session.h
@@ -13,7 +13,7 @@
 
 class Sessions;
 
-class ProxySession final : ClientOwner, HostOwner, RelayOwner {
+class ProxySession final : ClientConnEvents, HostOwner, RelayOwner {
  public:
   explicit ProxySession(Sessions& sessions);
 
@@ -26,11 +26,11 @@
   void dial_holder();
 
  private:
-  bool taking() const override;
-  void head_came(std::string_view line) override;
-  void client_left() override;
-  void client_closed() override;
-  void client_failed(Reason reason) override;
+  bool accepting_clients() const override;
+  void on_first_line(std::string_view line) override;
+  void on_client_left() override;
+  void on_client_closed() override;
+  void on_client_failed(Reason reason) override;
   bool still_wanted() override;
   bool client_waits() override;
   void host_accepted() override;
--- a/src/line/relay.cpp
+++ b/src/line/relay.cpp
@@ -148,7 +148,7 @@
 
 void Relay::over(DialOutcome how, Reason why) {
   if (std::exchange(over_, true)) return;
-  timers_.schedule(kLinger, *this, token(Due::linger));
+  timers_.schedule(kLingerTime, *this, token(Due::linger));
   owner_.relay_over(how, why);
 }
 
@@ -178,7 +178,7 @@
   const std::size_t left = host_->input().buffered().size();
   if (left == 0 || left >= lagging_) return close();
   lagging_ = left;
-  timers_.schedule(kLinger, *this, token(Due::linger));
+  timers_.schedule(kLingerTime, *this, token(Due::linger));
 }
 
 void Relay::close() {
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -54,8 +54,8 @@
     sockets_.network().set_events(going, nobody);
     if (reset || at_eof_ || going.generation % 4 != 0) sockets_.network().close(going, reset);")
 flintweir_flaw(answers-twice overload answer src/line/client_conn.cpp
-  "  if (!say(line) || all_out())" "  say(line);
-  if (!say(line) || all_out())")
+  "  if (!send(line) || all_sent())" "  send(line);
+  if (!send(line) || all_sent())")
 flintweir_flaw(drained-dialled rolling_deploy drain src/balance.cpp
   "    host->update(zone, cell, status,"
   "    host->update(zone, cell, status == HostStatus::draining ? host->status : status,")
@@ -81,7 +81,7 @@
 flintweir_flaw(runs-twice hosts_hang effect src/balance.cpp
   "if (!known_not_run)" "if (known_not_run)")
 flintweir_flaw(gone-and-dialled-on clients_leave gone src/line/proxy_session.cpp
-  "  if (client_.still_waits()) return true;" "  return true;"
+  "  if (client_.check_waiting()) return true;" "  return true;"
   "  if (answered_) return;
   ++sessions_.clients_gone_;" "  return;")
 flintweir_flaw(silence-borne crossings ended src/line/relay.cpp
@@ -128,7 +128,7 @@
 
 # What happens between two lines: one exchange cut after each byte, with each event there.
 flintweir_flaw(gone-and-dialled crossings left-dialled src/line/proxy_session.cpp
-  "  if (client_.still_waits()) return true;" "  return true;")
+  "  if (client_.check_waiting()) return true;" "  return true;")
 flintweir_flaw(drained-while-connecting crossings drain src/line/proxy_session.cpp
   "inherited_ || sessions_.balancer_now().may_dial(at_)" "true")
 flintweir_flaw(silent-watch-kept crossings drain src/node/discovery.cpp
