--- a/src/line/host_conn.cpp
+++ b/src/line/host_conn.cpp
@@ -6,61 +6,66 @@
 
 namespace flintweir::line {
 
-void HostConn::dial(const Address& to, std::string_view head, std::string_view time_left, Micros within) {
-  head_ = head;
+void HostConn::dial(const Address& address, std::string_view first_line, std::string_view time_left,
+                    Micros timeout) {
+  first_line_ = first_line;
   time_left_ = time_left;
-  until_ = timers_.now() + within;
-  digits_size_ = sent_ = 0;
-  if (!stream_.connect(to, *this)) return fail();
-  ++use_;
+  deadline_ = timers_.now() + timeout;
+  new_time_left_size_ = sent_ = 0;
+  if (!stream_.connect(address, *this)) return fail_later();
+  ++generation_;
   phase_ = Phase::connecting;
-  timers_.schedule(std::min(connect_within_, within), *this, token(Due::connect));
-  timers_.schedule(within, *this, token(Due::limit));
+  timers_.schedule(std::min(connect_timeout_, timeout), *this, token(Timer::connect));
+  timers_.schedule(timeout, *this, token(Timer::dial));
 }
 
-void HostConn::fail() {
-  ++use_;
+void HostConn::fail_later() {
+  ++generation_;
   phase_ = Phase::failed;
-  timers_.schedule(Micros{0}, *this, token(Due::limit));
+  timers_.schedule(Micros{0}, *this, token(Timer::dial));
 }
 
-void HostConn::give_up() {
-  ++use_;
+void HostConn::cancel() {
+  ++generation_;
   phase_ = Phase::idle;
   stream_.close();
 }
 
-Stream& HostConn::accepted() {
-  ++use_;
-  phase_ = Phase::given;
+Stream& HostConn::release_stream() {
+  ++generation_;
+  phase_ = Phase::released;
   return stream_;
 }
 
 void HostConn::connected(Stream&, ConnectResult result) {
   if (result != ConnectResult::established) return end(DialOutcome::connect_failed);
-  if (!owner_.still_wanted()) return;
+  if (!events_.confirm_dial()) return;
   phase_ = Phase::sending;
   if (!time_left_.empty()) {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until_ - timers_.now()).count();
-    const auto end =
-        std::to_chars(digits_.data(), digits_.data() + digits_.size(), std::max<long long>(left, 1));
-    digits_size_ = static_cast<std::size_t>(end.ptr - digits_.data());
+    const auto left =
+        std::chrono::duration_cast<std::chrono::milliseconds>(deadline_ - timers_.now()).count();
+    const auto end = std::to_chars(new_time_left_.data(), new_time_left_.data() + new_time_left_.size(),
+                                   std::max<long long>(left, 1));
+    new_time_left_size_ = static_cast<std::size_t>(end.ptr - new_time_left_.data());
   }
   stream_.want_read();
   send();
 }
 
 void HostConn::writable(Stream&) {
-  if (owner_.client_waits()) send();
+  if (events_.confirm_client_waiting()) send();
 }
 
-// Whether the last byte was written decides whether the session may have run, so it is known exactly.
+// The session may have run at the host once the last byte has been written, and not before. Each write is
+// therefore a plain non-blocking call, whose byte count is exact.
 void HostConn::send() {
-  const std::size_t before =
-      time_left_.empty() ? head_.size() : static_cast<std::size_t>(time_left_.data() - head_.data());
+  const std::size_t before = time_left_.empty()
+                                 ? first_line_.size()
+                                 : static_cast<std::size_t>(time_left_.data() - first_line_.data());
   const std::string_view after =
-      time_left_.empty() ? std::string_view{} : head_.substr(before + time_left_.size());
-  const std::array<std::string_view, 3> texts{head_.substr(0, before), {digits_.data(), digits_size_}, after};
+      time_left_.empty() ? std::string_view{} : first_line_.substr(before + time_left_.size());
+  const std::array<std::string_view, 3> texts{
+      first_line_.substr(0, before), {new_time_left_.data(), new_time_left_size_}, after};
   std::array<std::string_view, 3> parts;
   std::size_t skip = sent_, all = 0;
   for (std::size_t i = 0; i < texts.size(); ++i) {
@@ -86,7 +91,7 @@
   std::string_view rest;
   switch (parse_host_message(trim_line_end(*line), rest)) {
     case HostMessage::up:
-      return owner_.host_accepted();
+      return events_.on_host_accepted();
     case HostMessage::bye:
       return end(DialOutcome::completed);
     case HostMessage::move:
@@ -103,15 +108,15 @@
 }
 
 void HostConn::timer_expired(std::uint64_t t) {
-  if (t == token(Due::connect) && phase_ == Phase::connecting) return end(DialOutcome::connect_failed);
-  if (t != token(Due::limit)) return;
+  if (t == token(Timer::connect) && phase_ == Phase::connecting) return end(DialOutcome::connect_failed);
+  if (t != token(Timer::dial)) return;
   if (phase_ == Phase::failed) return end(DialOutcome::not_sent);
-  if (out()) end(phase_ == Phase::sent ? DialOutcome::timed_out : DialOutcome::connect_failed);
+  if (in_progress()) end(phase_ == Phase::sent ? DialOutcome::timed_out : DialOutcome::connect_failed);
 }
 
-void HostConn::end(DialOutcome how) {
-  give_up();
-  owner_.dial_ended(how);
+void HostConn::end(DialOutcome outcome) {
+  cancel();
+  events_.on_dial_ended(outcome);
 }
 
 }  // namespace flintweir::line
--- a/src/line/proxy_session.cpp
+++ b/src/line/proxy_session.cpp
@@ -69,7 +69,7 @@
   const HostTable::Host* h = sessions_.hosts_.find(host);
   if (dials_ > 1)
     log_line("retry id=%s host=%s dials=%u", logged_id_.text(), sessions_.hosts_.name(host), dials_);
-  if (!h || !sessions_.has_room()) return host_.fail();
+  if (!h || !sessions_.has_room()) return host_.fail_later();
   host_.dial(h->address, client_.first_line(), time_left_, limit);
 }
 
@@ -91,8 +91,8 @@
 void ProxySession::on_client_left() {
   if (answered_) return;
   ++sessions_.clients_gone_;
-  const bool dialling = host_.out();
-  host_.give_up();
+  const bool dialling = host_.in_progress();
+  host_.cancel();
   if (handle_.live()) {
     sessions_.balancer_now();
     handle_.client_left();
@@ -114,33 +114,33 @@
   sessions_.free(key_);
 }
 
-bool ProxySession::client_waits() {
+bool ProxySession::confirm_client_waiting() {
   if (client_.check_waiting()) return true;
   ++sessions_.dials_not_begun_;
   return false;
 }
 
-bool ProxySession::still_wanted() {
-  if (!client_waits()) return false;
+bool ProxySession::confirm_dial() {
+  if (!confirm_client_waiting()) return false;
   if (inherited_ || sessions_.balancer_now().may_dial(at_)) return true;
-  host_.give_up();
-  dial_ended(DialOutcome::not_sent);
+  host_.cancel();
+  on_dial_ended(DialOutcome::not_sent);
   return false;
 }
 
-void ProxySession::host_accepted() {
+void ProxySession::on_host_accepted() {
   open_ = answered_ = true;
   Balancer& balancer = sessions_.balancer_now();
   if (inherited_)
     handle_ = balancer.adopt_session(SessId{key_.packed()}, taken_, at_);
   else
     handle_.dial_accepted(dial_no());
-  relay_.start(client_.release_stream(), host_.accepted());
+  relay_.start(client_.release_stream(), host_.release_stream());
   // Too late for its turn among the others.
   if (sessions_.leaving_ && sessions_.timers_.now() >= sessions_.move_from_) move(Reason::restarting);
 }
 
-void ProxySession::dial_ended(DialOutcome how) {
+void ProxySession::on_dial_ended(DialOutcome how) {
   log_end(code_of(how));
   if (how == DialOutcome::rejected || how == DialOutcome::connect_failed)
     sessions_.probes_.stop_keeping_connection(at_);
--- a/src/line/proxy_session.h
+++ b/src/line/proxy_session.h
@@ -13,7 +13,7 @@
 
 class Sessions;
 
-class ProxySession final : ClientConnEvents, HostOwner, RelayOwner {
+class ProxySession final : ClientConnEvents, HostConnEvents, RelayOwner {
  public:
   explicit ProxySession(Sessions& sessions);
 
@@ -31,10 +31,10 @@
   void on_client_left() override;
   void on_client_closed() override;
   void on_client_failed(Reason reason) override;
-  bool still_wanted() override;
-  bool client_waits() override;
-  void host_accepted() override;
-  void dial_ended(DialOutcome how) override;
+  bool confirm_dial() override;
+  bool confirm_client_waiting() override;
+  void on_host_accepted() override;
+  void on_dial_ended(DialOutcome how) override;
   void load_is(double micros_per_s) override;
   void message_took(Micros delay) override;
   void relay_over(DialOutcome how, Reason why) override;
