--- a/src/line/proxy_session.cpp
+++ b/src/line/proxy_session.cpp
@@ -155,25 +155,25 @@
   sessions_.again(key_, kHolderAgain);
 }
 
-void ProxySession::load_is(double micros_per_s) {
+void ProxySession::on_host_load(double micros_per_s) {
   sessions_.balancer_now();
   handle_.set_load(micros_per_s);
 }
 
-void ProxySession::message_took(Micros delay) {
+void ProxySession::on_message_delay(Micros delay) {
   if (!sessions_.delay_counts(at_, delay)) return;
   sessions_.balancer_now();
   handle_.set_message_delay(delay);
 }
 
-void ProxySession::relay_over(DialOutcome how, Reason why) {
+void ProxySession::on_relay_ended(DialOutcome how, Reason why) {
   open_ = false;
   log_end(code_of(why));
   sessions_.balancer_now();
   handle_.dial_ended(dial_no(), how, true);
 }
 
-void ProxySession::relay_closed() { free(); }
+void ProxySession::on_relay_closed() { free(); }
 
 void ProxySession::log_end(const char* code, std::optional<RefusalReason> refusal) {
   const auto ms =
--- a/src/line/proxy_session.h
+++ b/src/line/proxy_session.h
@@ -13,7 +13,7 @@
 
 class Sessions;
 
-class ProxySession final : ClientConnEvents, HostConnEvents, RelayOwner {
+class ProxySession final : ClientConnEvents, HostConnEvents, RelayEvents {
  public:
   explicit ProxySession(Sessions& sessions);
 
@@ -35,10 +35,10 @@
   bool confirm_client_waiting() override;
   void on_host_accepted() override;
   void on_dial_ended(DialOutcome how) override;
-  void load_is(double micros_per_s) override;
-  void message_took(Micros delay) override;
-  void relay_over(DialOutcome how, Reason why) override;
-  void relay_closed() override;
+  void on_host_load(double micros_per_s) override;
+  void on_message_delay(Micros delay) override;
+  void on_relay_ended(DialOutcome how, Reason why) override;
+  void on_relay_closed() override;
   // The module knows only one dial of a connection that was open before.
   DialNo dial_no() const { return {inherited_ ? 0 : dials_ - 1}; }
   void free();
--- a/src/line/relay.h
+++ b/src/line/relay.h
@@ -1,4 +1,4 @@
-// An accepted session: lines passed on both ways, unchanged, until one side ends it or it is moved.
+// An accepted session: forwards lines unchanged in both directions until one side ends it or it is moved.
 #pragma once
 
 #include "balance.h"
@@ -10,55 +10,61 @@
 
 using namespace net;
 
-class RelayOwner {
+class RelayEvents {
  public:
-  virtual void load_is(double micros_per_s) = 0;
-  virtual void message_took(Micros delay) = 0;
-  virtual void relay_over(DialOutcome how, Reason why) = 0;  // once; both sides may take a while yet to close
-  virtual void relay_closed() = 0;                           // the places may be used again
+  virtual void on_host_load(double micros_per_s) = 0;  // the session's load, as the host reports it
+  virtual void on_message_delay(Micros delay) = 0;     // from a client's line to the host's next line
+  virtual void on_relay_ended(DialOutcome outcome,
+                              Reason reason) = 0;  // once; the connections may stay open for a while
+  virtual void on_relay_closed() = 0;              // both connections are closed; their objects may be reused
 
  protected:
-  ~RelayOwner() = default;
+  ~RelayEvents() = default;
 };
 
 class Relay final : StreamEvents, TimerEvents {
  public:
-  Relay(TimerQueue& timers, RelayOwner& owner) : timers_(timers), owner_(owner) {}
+  Relay(TimerQueue& timers, RelayEvents& events) : timers_(timers), events_(events) {}
 
+  // Uses both streams until on_relay_closed(). The caller keeps their ownership.
   void start(Stream& client, Stream& host);
-  // Tells the client to come again and closes both sides, in a later turn. Harmless once over.
-  void move(Reason why);
+  // Tells the client to reconnect (MOVE) and closes both sides, in a later turn of the event loop. Does
+  // nothing once the session has ended.
+  void move(Reason reason);
   bool moving() const { return moving_; }
 
  private:
-  enum class Due : std::uint64_t { move, stuck, silence, linger };
+  enum class Timer : std::uint64_t { move, move_stuck, silence, linger };
   void input_ready(Stream& stream) override;
   void writable(Stream& stream) override;
   void broken(Stream& stream) override;
   void timer_expired(std::uint64_t token) override;
-  std::uint64_t token(Due due) const { return use_ << 2 | static_cast<std::uint64_t>(due); }
-  void client_came();
-  void host_came();
-  void up_stream();
-  void down_stream();
-  void say_move();
-  void linger();
-  void host_over();
-  void over(DialOutcome how, Reason why);
+  std::uint64_t token(Timer timer) const { return generation_ << 2 | static_cast<std::uint64_t>(timer); }
+  void on_client_input();
+  void on_host_input();
+  void forward_to_host();
+  void forward_to_client();
+  void send_move();
+  void check_linger();
+  void host_ended();
+  void finish(DialOutcome outcome, Reason reason);
   void close();
 
   TimerQueue& timers_;
-  RelayOwner& owner_;
+  RelayEvents& events_;
   Stream* client_ = nullptr;
   Stream* host_ = nullptr;
-  std::uint64_t use_ = 0;
-  std::size_t seen_ = 0;        // of what is held for the client: lines looked at
-  std::string_view move_left_;  // of the MOVE line: not written yet
-  bool between_lines_ = true;   // as the client has them
-  bool moving_ = false, over_ = false, bye_ = false, sent_away_ = false;
-  Reason why_moving_ = Reason::moved;
-  std::size_t lagging_ = 0;  // bytes that the client had still to take when last looked at
-  Micros asked_at_{0};       // by a client's line that nothing has come back for; zero: none
+  std::uint64_t generation_ = 0;  // tells timers of the current session from those of earlier ones
+  std::size_t parsed_ = 0;        // bytes at the front of the host's input that are whole, parsed lines
+  std::string_view unsent_move_;  // the part of the MOVE line that the kernel has not taken yet
+  bool at_line_start_ = true;     // the last byte sent to the client ended a line
+  bool moving_ = false, ended_ = false;
+  bool last_line_bye_ = false;  // the host's latest line was BYE
+  bool move_sent_ = false;      // MOVE came from the host or was sent by this node
+  Reason move_reason_ = Reason::moved;
+  std::size_t unsent_at_last_check_ = 0;  // bytes for the client that were left at the last linger check
+  Micros awaiting_reply_since_{
+      0};  // when the client's first line without a reply arrived; zero if there is none
 };
 
 }  // namespace flintweir::line
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -63,9 +63,9 @@
   "+ cost <= budget ||" "+ cost <= 100 * budget ||")
 flintweir_flaw(byte-lost mix line src/line/relay.cpp
   "    bytes.consume(*n);
-    seen_ -= std::min(seen_, *n);" "    const std::size_t gone = *n < whole ? *n + 1 : *n;
+    parsed_ -= std::min(parsed_, *n);" "    const std::size_t gone = *n < whole ? *n + 1 : *n;
     bytes.consume(gone);
-    seen_ -= std::min(seen_, gone);")
+    parsed_ -= std::min(parsed_, gone);")
 flintweir_flaw(late-answer mix answer src/line/protocol.cpp
   "request.deadline = now + " "request.deadline = now + std::chrono::milliseconds(400) + ")
 flintweir_flaw(session-leak all_drop ended src/line/relay.cpp
@@ -85,7 +85,7 @@
   "  if (answered_) return;
   ++sessions_.clients_gone_;" "  return;")
 flintweir_flaw(silence-borne crossings ended src/line/relay.cpp
-  "kSilence = 4s" "kSilence = 40s")
+  "kSilenceTimeout = 4s" "kSilenceTimeout = 40s")
 
 # The fleet's own view.
 flintweir_flaw(views-never-exchanged members view-settled src/members/view.cpp
@@ -148,8 +148,8 @@
   "  while (accept()) continue;" ""
   "timers_.schedule(longest_dial_ + kKilled - kEndsBefore, *this, left)" "timers_.schedule(Micros{0}, *this, left)")
 flintweir_flaw(move-within-a-line crossings ended src/line/relay.cpp
-  "if (moving_ && between_lines_)" "if (moving_)"
-  "host_->at_eof() ? bytes.buffered().size() : seen_" "bytes.buffered().size()")
+  "if (moving_ && at_line_start_)" "if (moving_)"
+  "host_->at_eof() ? bytes.buffered().size() : parsed_" "bytes.buffered().size()")
 
 # Changes of configuration.
 flintweir_flaw(change-goes-back changes back src/changes/replicator.cpp
