--- a/src/line/proxy_session.h
+++ b/src/line/proxy_session.h
@@ -1,4 +1,5 @@
-// One client's connection with that to its host, and the module's handle on the session they make.
+// One session: the client's connection, the connection to its host, and the handle by which the balancer
+// knows it.
 #pragma once
 
 #include "balance.h"
@@ -17,13 +18,15 @@
  public:
   explicit ProxySession(Sessions& sessions);
 
-  void begin(SlabKey key, SocketKey socket);
-  // What the module does.
-  void dial(HostId host, Micros within);
+  // Begins a new use of this object. Takes ownership of `socket`; `key` names the object in its table.
+  void start(SlabKey key, SocketKey socket);
+  // Decisions of the balancer. A `timeout` of zero means until the client gives up.
+  void dial(HostId host, Micros timeout);
   void answer(std::string_view line, Reason reason, std::optional<RefusalReason> refusal = {});
-  void move(Reason why);
-  bool movable() const { return open_ && !relay_.moving(); }
-  void dial_holder();
+  void move(Reason reason);
+  bool movable() const { return relaying_ && !relay_.moving(); }
+  // Dials the host that already holds the session, unless the client has been answered.
+  void dial_current_host();
 
  private:
   bool accepting_clients() const override;
@@ -34,31 +37,33 @@
   bool confirm_dial() override;
   bool confirm_client_waiting() override;
   void on_host_accepted() override;
-  void on_dial_ended(DialOutcome how) override;
+  void on_dial_ended(DialOutcome outcome) override;
   void on_host_load(double micros_per_s) override;
   void on_message_delay(Micros delay) override;
-  void on_relay_ended(DialOutcome how, Reason why) override;
+  void on_relay_ended(DialOutcome outcome, Reason reason) override;
   void on_relay_closed() override;
-  // The module knows only one dial of a connection that was open before.
-  DialNo dial_no() const { return {inherited_ ? 0 : dials_ - 1}; }
-  void free();
-  // One line for each connection and each dial that ends; `refusal`: why the module gave no host.
+  // The balancer counts only one dial of a session that was open before this connection.
+  DialNo dial_no() const { return {adopted_ ? 0 : dial_count_ - 1}; }
+  void release();
+  // Logs the end of a connection or a dial in one line. `refusal` is the balancer's reason for giving no
+  // host.
   void log_end(const char* code, std::optional<RefusalReason> refusal = {});
 
   Sessions& sessions_;
-  ClientConn client_;
-  HostConn host_;
+  ClientConn client_conn_;
+  HostConn host_conn_;
   Relay relay_;
   SlabKey key_;
-  SessionHandle handle_;
-  std::optional<ConnectionId> id_;  // while it is claimed
+  SessionHandle sess_;
+  std::optional<ConnectionId> id_;  // set while it is claimed in Sessions
   LoggedId logged_id_;
-  SessionRequest taken_{};
-  std::string_view time_left_;
-  HostId at_;
-  Micros began_{0};
-  std::uint32_t dials_ = 0;
-  bool inherited_ = false, answered_ = false, open_ = false;
+  SessionRequest request_{};
+  std::string_view time_left_;  // digits within the first line, empty if it has none
+  HostId host_id_;              // of the latest dial, or the host that already holds the session
+  Micros started_at_{0};
+  std::uint32_t dial_count_ = 0;
+  bool adopted_ = false;  // the session was open before this connection
+  bool answered_ = false, relaying_ = false;
 };
 
 }  // namespace flintweir::line
--- a/src/line/sessions.h
+++ b/src/line/sessions.h
@@ -1,5 +1,5 @@
-// The table of sessions: what clients, hosts and the clock say becomes calls on the module, and what the
-// module does becomes answers, dials and moves.
+// All client connections and sessions of a node. Events of clients, hosts and timers become calls of the
+// balancer; the balancer's decisions become dials, answers and moves.
 #pragma once
 
 #include "balance.h"
@@ -11,10 +11,10 @@
 
 namespace flintweir::line {
 
-// How long things may take on this deployment's network.
+// Time limits that depend on the deployment.
 struct Timeouts {
   Micros connect, first_line, probe;
-  Micros longest_stay_away;  // zero where clients cannot be told when to come back
+  Micros max_retry_after;  // longest retry delay a client may be given; zero if BUSY cannot carry one
 };
 
 class Sessions final : public BalancerDelegate, Probes::Events {
@@ -26,77 +26,89 @@
    protected:
     ~Events() = default;
   };
-  // `message_target` is zero where delays of messages are not the module's to know.
-  Sessions(Sockets& sockets, TimerQueue& timers, HostTable& hosts, Timeouts patience, Micros message_target,
-           OpenLineParser heads, std::size_t most, std::size_t most_idle, Events& told);
+  // `message_target` is zero if message delays are not to be reported to the balancer. `max_sessions` counts
+  // all client connections, `max_idle_clients` those without a session.
+  Sessions(Sockets& sockets, TimerQueue& timers, HostTable& hosts, Timeouts timeouts, Micros message_target,
+           OpenLineParser open_line_parser, std::size_t max_sessions, std::size_t max_idle_clients,
+           Events& events);
 
+  // Must be called before anything else.
   void set_balancer(std::unique_ptr<Balancer> balancer) { balancer_ = std::move(balancer); }
-  Balancer& balancer_now();  // with the time said
+  // Sets the balancer's clock to the current time and returns the balancer.
+  Balancer& balancer_now();
+  // Takes ownership of a newly accepted socket.
   void add_client(SocketKey socket);
-  // Ends a connection that asks for nothing, for one that may; false: there is none.
-  bool evict_idle_client() { return idle_.evict_oldest(); }
-  // From now on nothing new is taken; once fronts have noticed, open sessions are moved, evenly over so long.
+  // Closes the oldest connection that has no session, to free its descriptor. Returns false if there is none.
+  bool evict_idle_client() { return idle_clients_.evict_oldest(); }
+  // Refuses new sessions from now on. Once the load balancers in front of this node have noticed, moves the
+  // open sessions, spread evenly over `over`.
   void shut_down(Micros over);
 
-  // Since the start: clients that went before their answer, and dials that were under way and did not begin
-  // as the client was found gone at the last look.
+  // Counts since the start of the process: clients that left before their answer, and dials in progress that
+  // were not sent because the last check found the client gone.
   std::uint64_t clients_gone() const { return clients_gone_; }
   std::uint64_t dials_not_begun() const { return dials_not_begun_; }
 
   void dial(SessId sess, HostId host, Micros limit) override;
-  void refuse(SessId sess, Micros stay_away, RefusalReason why) override;
-  void tear_down(SessId sess, RefusalReason why) override;
+  void refuse(SessId sess, Micros retry_after, RefusalReason reason) override;
+  void tear_down(SessId sess, RefusalReason reason) override;
   void move(SessId sess) override;
   void probe(HostId host) override;
-  void set_timer(Micros in, TimerId wake) override { timers_.schedule(in, module_wakes_, wake.value); }
-  void watch_list() override { told_.watch_host_list(); }
+  void set_timer(Micros delay, TimerId timer) override {
+    timers_.schedule(delay, balancer_timer_, timer.value);
+  }
+  void watch_list() override { events_.watch_host_list(); }
   void forget_host(HostId host) override;
   void log(std::string_view line) override;
   void log(std::string_view line, HostId host) override;
 
  private:
   friend class ProxySession;
-  struct Waker final : TimerEvents {
-    Waker(Sessions& s, void (Sessions::*c)(std::uint64_t)) : sessions(s), call(c) {}
-    void timer_expired(std::uint64_t token) override { (sessions.*call)(token); }
+  // Calls a member function when its timer expires.
+  struct MemberTimer final : TimerEvents {
+    MemberTimer(Sessions& s, void (Sessions::*f)(std::uint64_t)) : sessions(s), function(f) {}
+    void timer_expired(std::uint64_t token) override { (sessions.*function)(token); }
     Sessions& sessions;
-    void (Sessions::*call)(std::uint64_t);
+    void (Sessions::*function)(std::uint64_t);
   };
-  void on_probe_ended(HostId host, DialOutcome how, Micros took, const LoadReport& report) override;
-  void wake_module(std::uint64_t wake) { balancer_now().timer_expired(TimerId{wake}); }
-  void dial_again(std::uint64_t key);
+  void on_probe_ended(HostId host, DialOutcome outcome, Micros duration, const LoadReport& report) override;
+  void on_balancer_timer(std::uint64_t timer) { balancer_now().timer_expired(TimerId{timer}); }
+  void redial(std::uint64_t key);
   void move_next(std::uint64_t);
 
-  void busy(ProxySession& link, Micros stay_away, Reason why, std::optional<RefusalReason> refusal = {});
-  ProxySession* find(SessId sess) { return links_.find(SlabKey::unpacked(sess.value)); }
-  bool has_room() const { return count_ <= most_ && sockets_.has_room(kSpare); }
-  void again(SlabKey key, Micros in) { timers_.schedule(in, dial_again_, key.packed()); }
-  bool delay_counts(HostId host, Micros delay);
-  void free(SlabKey key);
+  void answer_busy(ProxySession& session, Micros retry_after, Reason reason,
+                   std::optional<RefusalReason> refusal = {});
+  ProxySession* find(SessId sess) { return sessions_.find(SlabKey::unpacked(sess.value)); }
+  bool has_room() const { return session_count_ <= max_sessions_ && sockets_.has_room(kReservedDescriptors); }
+  void redial_after(SlabKey key, Micros delay) { timers_.schedule(delay, redial_timer_, key.packed()); }
+  bool should_report_delay(HostId host, Micros delay);
+  void remove(SlabKey key);
 
-  static constexpr Micros kFrontNotices =
-      std::chrono::milliseconds(500);            // they go on sending for up to 0.4 s
-  static constexpr std::size_t kIdsKept = 4096;  // of connections that are over
-  static constexpr std::size_t kSpare = 16;      // descriptors kept for refusing, for probes and for the list
+  // How long after this node stops answering health checks new clients may still arrive: the load balancers
+  // in front of it go on sending them for up to 0.4 s.
+  static constexpr Micros kFrontCheckDelay = std::chrono::milliseconds(500);
+  static constexpr std::size_t kRetiredIdsKept = 4096;
+  // Descriptors kept for clients that are to be refused, for probes and for the host list.
+  static constexpr std::size_t kReservedDescriptors = 16;
 
   Sockets& sockets_;
   TimerQueue& timers_;
   HostTable& hosts_;
-  Timeouts patience_;
+  Timeouts timeouts_;
   Micros message_target_;
-  OpenLineParser heads_;
-  std::size_t most_, count_ = 0;
-  IdleClients idle_;  // outlives the connections in it
-  ConnectionIds ids_{kIdsKept};
-  Events& told_;
+  OpenLineParser open_line_parser_;
+  std::size_t max_sessions_, session_count_ = 0;
+  IdleClients idle_clients_;  // must outlive the connections in it
+  ConnectionIds connection_ids_{kRetiredIdsKept};
+  Events& events_;
   Probes probes_;
-  Waker module_wakes_{*this, &Sessions::wake_module}, dial_again_{*this, &Sessions::dial_again},
-      move_next_{*this, &Sessions::move_next};
-  Slab<ProxySession> links_;
+  MemberTimer balancer_timer_{*this, &Sessions::on_balancer_timer}, redial_timer_{*this, &Sessions::redial},
+      move_timer_{*this, &Sessions::move_next};
+  Slab<ProxySession> sessions_;
   std::unique_ptr<Balancer> balancer_;
-  bool leaving_ = false;
+  bool shutting_down_ = false;
   std::uint64_t clients_gone_ = 0, dials_not_begun_ = 0;
-  Micros move_from_{0}, leave_by_{0};
+  Micros moves_start_at_{0}, moves_end_at_{0};
 };
 
 }  // namespace flintweir::line
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -81,7 +81,7 @@
 flintweir_flaw(runs-twice hosts_hang effect src/balance.cpp
   "if (!known_not_run)" "if (known_not_run)")
 flintweir_flaw(gone-and-dialled-on clients_leave gone src/line/proxy_session.cpp
-  "  if (client_.check_waiting()) return true;" "  return true;"
+  "  if (client_conn_.check_waiting()) return true;" "  return true;"
   "  if (answered_) return;
   ++sessions_.clients_gone_;" "  return;")
 flintweir_flaw(silence-borne crossings ended src/line/relay.cpp
@@ -128,9 +128,9 @@
 
 # What happens between two lines: one exchange cut after each byte, with each event there.
 flintweir_flaw(gone-and-dialled crossings left-dialled src/line/proxy_session.cpp
-  "  if (client_.check_waiting()) return true;" "  return true;")
+  "  if (client_conn_.check_waiting()) return true;" "  return true;")
 flintweir_flaw(drained-while-connecting crossings drain src/line/proxy_session.cpp
-  "inherited_ || sessions_.balancer_now().may_dial(at_)" "true")
+  "adopted_ || sessions_.balancer_now().may_dial(host_id_)" "true")
 flintweir_flaw(silent-watch-kept crossings drain src/node/discovery.cpp
   "kWatchSlack = StalenessClock::kAfterWait / 4;" "kWatchSlack = 100 * StalenessClock::kAfterWait;"
   "told_.balancer_now().list_stale()" "void()")
