--- a/src/line/host_conn.h
+++ b/src/line/host_conn.h
@@ -34,7 +34,7 @@
   // empty; it is replaced by the time left of this dial, in milliseconds. Both views must stay valid until
   // the dial ends. The end is always reported in a later turn of the event loop, never from within this call.
   void dial(const Address& address, std::string_view first_line, std::string_view time_left, Micros timeout);
-  // Ends the dial as unsent, likewise in a later turn: for a dial that cannot be attempted.
+  // Ends the dial as not_sent, likewise in a later turn: for a dial that cannot be attempted.
   void fail_later();
   // Closes the connection without a callback.
   void cancel();
--- a/src/line/relay.h
+++ b/src/line/relay.h
@@ -12,11 +12,14 @@
 
 class RelayEvents {
  public:
-  virtual void on_host_load(double micros_per_s) = 0;  // the session's load, as the host reports it
-  virtual void on_message_delay(Micros delay) = 0;     // from a client's line to the host's next line
-  virtual void on_relay_ended(DialOutcome outcome,
-                              Reason reason) = 0;  // once; the connections may stay open for a while
-  virtual void on_relay_closed() = 0;              // both connections are closed; their objects may be reused
+  // The session's load as the host reports it, in microseconds of work per second.
+  virtual void on_host_load(double micros_per_s) = 0;
+  // The time from a client's line to the host's next line.
+  virtual void on_message_delay(Micros delay) = 0;
+  // Called once, when the session is over. The connections may stay open for a while.
+  virtual void on_relay_ended(DialOutcome outcome, Reason reason) = 0;
+  // Both connections are closed; their objects may be reused.
+  virtual void on_relay_closed() = 0;
 
  protected:
   ~RelayEvents() = default;
@@ -62,9 +65,10 @@
   bool last_line_bye_ = false;  // the host's latest line was BYE
   bool move_sent_ = false;      // MOVE came from the host or was sent by this node
   Reason move_reason_ = Reason::moved;
-  std::size_t unsent_at_last_check_ = 0;  // bytes for the client that were left at the last linger check
-  Micros awaiting_reply_since_{
-      0};  // when the client's first line without a reply arrived; zero if there is none
+  // Bytes for the client that were left at the last linger check.
+  std::size_t unsent_at_last_check_ = 0;
+  // When the first client's line that has no reply yet arrived; zero if all have one.
+  Micros awaiting_reply_since_{0};
 };
 
 }  // namespace flintweir::line
