--- a/src/line/client_conn.cpp
+++ b/src/line/client_conn.cpp
@@ -51,8 +51,8 @@
     stream_.input().consume(size);
     timers_.schedule(first_line_timeout_, *this, ++token_);
   }
-  // A line without an end would fill the buffer and block the connection.
   if (!all_sent()) return;
+  // A line without an end would fill the buffer and block the connection.
   if (stream_.input().buffered().size() >= kMaxLineBytes || stream_.at_eof()) reject_first_line();
 }
 
--- a/src/line/host_conn.cpp
+++ b/src/line/host_conn.cpp
@@ -107,9 +107,10 @@
   end(phase_ == Phase::sent ? DialOutcome::connection_lost : DialOutcome::connect_failed);
 }
 
-void HostConn::timer_expired(std::uint64_t t) {
-  if (t == token(Timer::connect) && phase_ == Phase::connecting) return end(DialOutcome::connect_failed);
-  if (t != token(Timer::dial)) return;
+void HostConn::timer_expired(std::uint64_t expired) {
+  if (expired == token(Timer::connect) && phase_ == Phase::connecting)
+    return end(DialOutcome::connect_failed);
+  if (expired != token(Timer::dial)) return;
   if (phase_ == Phase::failed) return end(DialOutcome::not_sent);
   if (in_progress()) end(phase_ == Phase::sent ? DialOutcome::timed_out : DialOutcome::connect_failed);
 }
--- a/src/line/relay.cpp
+++ b/src/line/relay.cpp
@@ -156,19 +156,19 @@
   events_.on_relay_ended(outcome, reason);
 }
 
-void Relay::timer_expired(std::uint64_t t) {
-  if (t == token(Timer::linger)) return check_linger();
-  if (t == token(Timer::move) && !ended_) {
+void Relay::timer_expired(std::uint64_t expired) {
+  if (expired == token(Timer::linger)) return check_linger();
+  if (expired == token(Timer::move) && !ended_) {
     timers_.schedule(kSilenceTimeout, *this, token(Timer::move_stuck));
     return forward_to_client();
   }
-  if (t == token(Timer::move_stuck) && !ended_) {  // the client does not read, so MOVE cannot be sent
+  if (expired == token(Timer::move_stuck) && !ended_) {  // the client does not read, so MOVE cannot be sent
     finish(DialOutcome::cancelled, move_reason_);
     client_->abort();
     return close();
   }
   // A silent host sends no reset and TCP detects nothing, so the client is moved to another host.
-  if (t != token(Timer::silence) || ended_ || awaiting_reply_since_ == Micros{0}) return;
+  if (expired != token(Timer::silence) || ended_ || awaiting_reply_since_ == Micros{0}) return;
   // While a slow client has whole lines still to read, the host is not read and may well have replied. A
   // partial line does not count: a client whose host falls silent within a line would never be moved.
   if (parsed_ > 0) awaiting_reply_since_ = timers_.now();
--- a/tests/node_clients_test.cpp
+++ b/tests/node_clients_test.cpp
@@ -7,10 +7,10 @@
 
 TEST_F(Node, ReadsFirstLinesInAnyPieces) {
   start_node(4);
-  Peer front = Peer::connect(port);
-  front.send("PING\r\nPING\r\n");
-  EXPECT_EQ(front.read_line(), "PONG");
-  EXPECT_EQ(front.read_line(), "PONG");
+  Peer health_check = Peer::connect(port);
+  health_check.send("PING\r\nPING\r\n");
+  EXPECT_EQ(health_check.read_line(), "PONG");
+  EXPECT_EQ(health_check.read_line(), "PONG");
   Peer slow = Peer::connect(port);
   for (const char c : std::string("OPEN 1 2 c=chat,d=2000\r\n")) slow.send(std::string(1, c));
   Peer host = next_dial().second;
@@ -69,13 +69,13 @@
 TEST_F(Node, ServesWhileHundredsOfConnectionsAreIdle) {
   start_node(1, false, 128);
   std::vector<Peer> silent, lingering;
-  std::vector<std::pair<Peer, Peer>> usual;
+  std::vector<std::pair<Peer, Peer>> served;
   const auto began = Steady::now();
   for (int i = 0; i < 100; ++i) {
     for (int n = 0; n < 3; ++n) silent.push_back(Peer::connect(port));
     lingering.push_back(Peer::connect(port));
     lingering.back().send("what?\r\n");
-    if (i % 10 == 9) usual.push_back(accepted_session());
+    if (i % 10 == 9) served.push_back(accepted_session());
   }
   for (Peer& r : lingering) EXPECT_EQ(r.read_line(), "ERR");
   for (Peer& s : silent) {  // each is answered within 3 s
@@ -100,7 +100,7 @@
 
 TEST_F(Node, AnswersAllWhenDescriptorsRunOut) {
   start_node(1, false, 64);
-  std::vector<Peer> clients, taken;
+  std::vector<Peer> clients, host_peers;
   for (int i = 0; i < 100; ++i) clients.push_back(open_session("chat", 1500));
   // Waits for the client's answer and meanwhile accepts every dial, since other clients' sessions may be
   // dialled first.
@@ -109,8 +109,8 @@
     std::string answer = "(nothing)";
     while (answer == "(nothing)" && Steady::now() < until) {
       while (hosts[0].connection_pending(0ms)) {
-        taken.push_back(hosts[0].accept());
-        taken.back().send("UP r\r\n");
+        host_peers.push_back(hosts[0].accept());
+        host_peers.back().send("UP r\r\n");
       }
       answer = client.read_line(20ms);
     }
@@ -126,7 +126,7 @@
   EXPECT_GT(busy, 0u);
   EXPECT_GT(up, 0u);
   clients.clear();
-  taken.clear();
+  host_peers.clear();
   // Afterwards the node serves again. For a while it avoids the host, whose connections were closed without
   // notice.
   std::string answer;
--- a/tests/node_dials_test.cpp
+++ b/tests/node_dials_test.cpp
@@ -70,12 +70,12 @@
 // Many concurrent sessions on hosts that behave at random: every client gets one answer in time, no session
 // has two dials in progress, and a once-only session is never dialled again after it may have run.
 TEST_F(Node, KeepsTheDialRulesInRandomRuns) {
-  std::mt19937_64 chance(11);
+  std::mt19937_64 random(11);
   start_node(40);  // enough, as hosts that fail are avoided for a while
   struct Client {
     Peer peer;
     Steady::time_point until;
-    bool once, answered = false, said = false;
+    bool once, answered = false, sent_hello = false;
   };
   struct Dial {
     Peer peer;
@@ -85,11 +85,11 @@
   std::map<std::string, Client> clients;
   std::vector<Dial> dials;
   std::set<std::string> in_progress, may_have_run;
-  unsigned ups = 0, answers = 0;
+  unsigned accepted_count = 0, answers = 0;
   const int count = 300;
   for (int begun = 0; begun < count || !clients.empty();) {
     if (begun < count && clients.size() < 40) {
-      const bool once = chance() % 2;
+      const bool once = random() % 2;
       const std::string id = std::to_string(ids + 1);
       clients[id] = {open_session(once ? "pay" : "chat", 400), Steady::now() + 400ms, once};
       ++begun;
@@ -106,20 +106,20 @@
         EXPECT_TRUE(in_progress.insert(d.id).second) << "two dials of one session are in progress";
         const auto c = clients.find(d.id);
         EXPECT_FALSE(c != clients.end() && c->second.once && may_have_run.contains(d.id)) << "dialled again";
-        const unsigned what = static_cast<unsigned>(chance() % 16);
+        const unsigned behaviour = static_cast<unsigned>(random() % 16);
         in_progress.erase(d.id);  // before closing, as the node may react at once
-        if (what != 1) may_have_run.insert(d.id);
-        if (what == 0) d.peer.reset();
-        if (what == 1) d.peer.send("BUSY\r\n");
-        if (what == 2) d.peer.send("ERR\r\n");
-        if (what == 3) d.peer.close();
-        if (what >= 4) in_progress.insert(d.id);  // 4: silent
-        if (what > 4) d.peer.send("UP r" + d.id + "\r\n");
-        d.up = what > 4;
-        gone = what == 0 || what == 3;
+        if (behaviour != 1) may_have_run.insert(d.id);
+        if (behaviour == 0) d.peer.reset();
+        if (behaviour == 1) d.peer.send("BUSY\r\n");
+        if (behaviour == 2) d.peer.send("ERR\r\n");
+        if (behaviour == 3) d.peer.close();
+        if (behaviour >= 4) in_progress.insert(d.id);  // 4: silent
+        if (behaviour > 4) d.peer.send("UP r" + d.id + "\r\n");
+        d.up = behaviour > 4;
+        gone = behaviour == 0 || behaviour == 3;
       } else if (d.up && line.rfind("hello", 0) == 0) {
         EXPECT_EQ(line, "hello " + d.id);
-        if (chance() % 20 == 0)
+        if (random() % 20 == 0)
           d.peer.reset();
         else
           d.peer.send("BYE\r\n");
@@ -146,8 +146,8 @@
           EXPECT_TRUE(up || line == "BUSY" || line == "ERR") << line;
           EXPECT_FALSE(line == "BUSY" && c.once && may_have_run.contains(it->first))
               << "refused, may have run";
-          if (up) c.peer.send("hello " + it->first + "\r\n"), ++ups;
-          c.said = up;
+          if (up) c.peer.send("hello " + it->first + "\r\n"), ++accepted_count;
+          c.sent_hello = up;
           done = !up;
         } else if (Steady::now() > c.until + 1s) {
           done = true;
@@ -161,7 +161,7 @@
     wait_readable(discovery.fd(), 1ms);
   }
   EXPECT_EQ(answers, static_cast<unsigned>(count));
-  EXPECT_GT(ups, 20u);
+  EXPECT_GT(accepted_count, 20u);
 }
 
 }  // namespace
