--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -54,8 +54,8 @@
     sockets_.network().set_events(going, nobody);
     if (reset || at_eof_ || going.generation % 4 != 0) sockets_.network().close(going, reset);")
 flintweir_flaw(answers-twice overload answer src/line/client_conn.cpp
-  "  if (!say(line) || all_out())" "  say(line);
-  if (!say(line) || all_out())")
+  "  if (!send(line) || all_sent())" "  send(line);
+  if (!send(line) || all_sent())")
 flintweir_flaw(drained-dialled rolling_deploy drain src/balance.cpp
   "    host->update(zone, cell, status,"
   "    host->update(zone, cell, status == HostStatus::draining ? host->status : status,")
@@ -63,11 +63,11 @@
   "+ cost <= budget ||" "+ cost <= 100 * budget ||")
 flintweir_flaw(byte-lost mix line src/line/relay.cpp
   "    bytes.consume(*n);
-    seen_ -= std::min(seen_, *n);" "    const std::size_t gone = *n < whole ? *n + 1 : *n;
+    parsed_ -= std::min(parsed_, *n);" "    const std::size_t gone = *n < whole ? *n + 1 : *n;
     bytes.consume(gone);
-    seen_ -= std::min(seen_, gone);")
+    parsed_ -= std::min(parsed_, gone);")
 flintweir_flaw(late-answer mix answer src/line/protocol.cpp
-  "taken.deadline = now + " "taken.deadline = now + std::chrono::milliseconds(400) + ")
+  "request.deadline = now + " "request.deadline = now + std::chrono::milliseconds(400) + ")
 flintweir_flaw(session-leak all_drop ended src/line/relay.cpp
   "    host_->abort();
     return close();" "    return close();"
@@ -81,11 +81,11 @@
 flintweir_flaw(runs-twice hosts_hang effect src/balance.cpp
   "if (!known_not_run)" "if (known_not_run)")
 flintweir_flaw(gone-and-dialled-on clients_leave gone src/line/proxy_session.cpp
-  "  if (client_.still_waits()) return true;" "  return true;"
+  "  if (client_conn_.check_waiting()) return true;" "  return true;"
   "  if (answered_) return;
   ++sessions_.clients_gone_;" "  return;")
 flintweir_flaw(silence-borne crossings ended src/line/relay.cpp
-  "kSilence = 4s" "kSilence = 40s")
+  "kSilenceTimeout = 4s" "kSilenceTimeout = 40s")
 
 # The fleet's own view.
 flintweir_flaw(views-never-exchanged members view-settled src/members/view.cpp
@@ -128,9 +128,9 @@
 
 # What happens between two lines: one exchange cut after each byte, with each event there.
 flintweir_flaw(gone-and-dialled crossings left-dialled src/line/proxy_session.cpp
-  "  if (client_.still_waits()) return true;" "  return true;")
+  "  if (client_conn_.check_waiting()) return true;" "  return true;")
 flintweir_flaw(drained-while-connecting crossings drain src/line/proxy_session.cpp
-  "inherited_ || sessions_.balancer_now().may_dial(at_)" "true")
+  "adopted_ || sessions_.balancer_now().may_dial(host_id_)" "true")
 flintweir_flaw(silent-watch-kept crossings drain src/node/discovery.cpp
   "kLongPollSlack = StalenessClock::kLongPollDeadline / 4;"
   "kLongPollSlack = 100 * StalenessClock::kLongPollDeadline;"
@@ -152,8 +152,8 @@
   "timers_.schedule(max_dial_timeout_ + kKillDelay - kShutdownMargin, *this, shutdown_over)"
   "timers_.schedule(Micros{0}, *this, shutdown_over)")
 flintweir_flaw(move-within-a-line crossings ended src/line/relay.cpp
-  "if (moving_ && between_lines_)" "if (moving_)"
-  "host_->at_eof() ? bytes.buffered().size() : seen_" "bytes.buffered().size()")
+  "if (moving_ && at_line_start_)" "if (moving_)"
+  "host_->at_eof() ? bytes.buffered().size() : parsed_" "bytes.buffered().size()")
 
 # Changes of configuration.
 flintweir_flaw(change-goes-back changes back src/changes/replicator.cpp
