--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -165,17 +165,17 @@
   for (int i = 0; i < 5000; ++i) {
     const std::size_t size = 1 + chance() % 400;
     if (out.size() < 40 && (out.empty() || chance() % 2)) {
-      out.emplace_back(memory.take(size), size);
+      out.emplace_back(memory.allocate(size), size);
       std::memset(out.back().first, i, size);
     } else {
       std::swap(out[chance() % out.size()], out.back());
-      memory.give(out.back().first, out.back().second);
+      memory.deallocate(out.back().first, out.back().second);
       out.pop_back();
     }
     most = std::max(most, out.size());
-    EXPECT_LE(memory.blocks(), most);
+    EXPECT_LE(memory.block_count(), most);
   }
-  for (const auto& [block, size] : out) memory.give(block, size);
+  for (const auto& [block, size] : out) memory.deallocate(block, size);
 }
 
 // A first line is sent from where it lies while more comes in behind it.
