--- a/src/net/http_get.cpp
+++ b/src/net/http_get.cpp
@@ -5,105 +5,105 @@
 
 using namespace std::chrono_literals;
 
-constexpr std::size_t kLongestBody = 16u << 20;
-constexpr Micros kCrossing = 50ms;  // a round trip and a little
-constexpr Micros kComesUp = 2s;     // a connection, also where its first packet is lost
+constexpr std::size_t kMaxBodyBytes = 16u << 20;
+constexpr Micros kRetryWindow = 50ms;   // a round trip and a margin
+constexpr Micros kConnectTimeout = 2s;  // enough for a connection whose first packet is lost
 
 }  // namespace
 
-HttpGet::HttpGet(Sockets& sockets, TimerQueue& timers, const Address& at, Events& events)
+HttpGet::HttpGet(Sockets& sockets, TimerQueue& timers, const Address& server, Events& events)
     : stream_(sockets), timers_(timers), events_(events) {
-  set_server(at);
+  set_server(server);
   http_parser_settings_init(&callbacks_);
   callbacks_.on_body = [](http_parser* p, const char* bytes, std::size_t n) {
     std::string& body = static_cast<HttpGet*>(p->data)->body_;
-    if (body.size() + n > kLongestBody) return 1;
+    if (body.size() + n > kMaxBodyBytes) return 1;
     body.append(bytes, n);
     return 0;
   };
   callbacks_.on_message_complete = [](http_parser* p) {
-    static_cast<HttpGet*>(p->data)->whole_ = true;
+    static_cast<HttpGet*>(p->data)->response_complete_ = true;
     http_parser_pause(p, 1);
     return 0;
   };
 }
 
-void HttpGet::set_server(const Address& at) {
-  at_ = at;
-  host_ = to_text(at);
-  drop();
+void HttpGet::set_server(const Address& server) {
+  server_ = server;
+  host_header_ = to_text(server);
+  cancel();
 }
 
-void HttpGet::drop() {
-  asking_ = false;
+void HttpGet::cancel() {
+  pending_ = false;
   ++token_;
   stream_.close();
 }
 
-void HttpGet::get(std::string_view path, Micros wait, Micros slack) {
+void HttpGet::get(std::string_view path, Micros server_wait, Micros margin) {
   request_ = "GET ";
   request_.append(path)
       .append(" HTTP/1.1\r\nHost: ")
-      .append(host_)
+      .append(host_header_)
       .append("\r\nAccept: application/json\r\n\r\n");
   body_.clear();
   sent_ = 0;
-  begun_ = whole_ = false;
-  asking_ = true;
+  response_started_ = response_complete_ = false;
+  pending_ = true;
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
   ++token_;
-  asked_at_ = timers_.now();
-  wait_ = wait;
-  slack_ = slack;
+  requested_at_ = timers_.now();
+  server_wait_ = server_wait;
+  margin_ = margin;
   if (stream_.open() && !stream_.reusable()) stream_.close();
-  kept_ = stream_.open();
-  expect(kept_ ? wait + slack : kComesUp);
-  if (kept_) return send();
-  if (!stream_.connect(at_, *this)) expect(Micros{0});
+  reused_connection_ = stream_.open();
+  set_deadline(reused_connection_ ? server_wait + margin : kConnectTimeout);
+  if (reused_connection_) return send();
+  if (!stream_.connect(server_, *this)) set_deadline(Micros{0});
 }
 
-void HttpGet::expect(Micros within) {
-  due_ = timers_.now() + within;
-  timers_.schedule(within, *this, token_);
+void HttpGet::set_deadline(Micros from_now) {
+  deadline_ = timers_.now() + from_now;
+  timers_.schedule(from_now, *this, token_);
 }
 
 void HttpGet::connected(Stream&, ConnectResult result) {
   if (result == ConnectResult::refused) return fail("connection refused", RequestFailure::connection_refused);
-  if (result == ConnectResult::failed) return fail("no connection", RequestFailure::connection_closed);
-  expect(wait_ + slack_);
+  if (result == ConnectResult::failed) return fail("connection failed", RequestFailure::connection_closed);
+  set_deadline(server_wait_ + margin_);
   stream_.want_read();
   send();
 }
 
 void HttpGet::send() {
-  const auto n = stream_.write(std::string_view(request_).substr(sent_));
-  if (!n) return broken(stream_);
-  sent_ += *n;
+  const auto written = stream_.write(std::string_view(request_).substr(sent_));
+  if (!written) return broken(stream_);
+  sent_ += *written;
   if (sent_ < request_.size()) stream_.want_write();
   stream_.want_read();
 }
 
 void HttpGet::input_ready(Stream&) {
   const std::string_view bytes = stream_.input().buffered();
-  if (!asking_) return stream_.close();  // the end of an idle connection, or what nobody asked for
+  if (!pending_) return stream_.close();  // the server closed an idle connection, or sent unrequested bytes
   if (!bytes.empty()) {
-    kept_ = false;
-    begun_ = true;
-    // One that has begun to answer waits for nothing any more. Guards against a service that falls silent
-    // within.
-    if (due_ - timers_.now() > slack_) expect(slack_);
+    reused_connection_ = false;
+    response_started_ = true;
+    // A server that has started its response has nothing left to wait for, so the rest is due within the
+    // margin. Guards against a server that stalls in the middle of a response.
+    if (deadline_ - timers_.now() > margin_) set_deadline(margin_);
     http_parser_execute(&parser_, &callbacks_, bytes.data(), bytes.size());
   }
-  if (!whole_ && stream_.at_eof()) {
-    http_parser_execute(&parser_, &callbacks_, nullptr, 0);  // a body may last until the end
-    if (!whole_) return broken(stream_);
+  if (!response_complete_ && stream_.at_eof()) {
+    http_parser_execute(&parser_, &callbacks_, nullptr, 0);  // the end of the stream may delimit a body
+    if (!response_complete_) return broken(stream_);
   }
   const auto error = HTTP_PARSER_ERRNO(&parser_);
   if (error != HPE_OK && error != HPE_PAUSED) return fail(http_errno_name(error), RequestFailure::truncated);
   stream_.input().clear();
-  if (!whole_) return stream_.want_read();
-  asking_ = false;
+  if (!response_complete_) return stream_.want_read();
+  pending_ = false;
   ++token_;
   if (stream_.at_eof() || !http_should_keep_alive(&parser_))
     stream_.close();
@@ -114,25 +114,26 @@
 
 void HttpGet::broken(Stream&) {
   stream_.close();
-  if (!asking_) return;
-  // A kept connection may have ended before the question was there: asked again on a new one, once. One that
-  // ends later has been heard. Guards against all nodes asking again in the moment in which a service that is
-  // swamped breaks their calls off, without the pause that is due.
-  if (std::exchange(kept_, false) && timers_.now() - asked_at_ < kCrossing) {
+  if (!pending_) return;
+  // The server may have closed a reused connection before the request reached it: the request is sent once
+  // more, on a new connection. One that breaks later than a round trip had delivered the request, and is not
+  // repeated. Otherwise all nodes would resend at the moment when an overloaded server drops their requests,
+  // without the pause that is due between attempts.
+  if (std::exchange(reused_connection_, false) && timers_.now() - requested_at_ < kRetryWindow) {
     sent_ = 0;
-    return expect(stream_.connect(at_, *this) ? kComesUp : Micros{0});
+    return set_deadline(stream_.connect(server_, *this) ? kConnectTimeout : Micros{0});
   }
-  fail("the connection broke", unless_begun(RequestFailure::connection_closed));
+  fail("connection closed before the end of the response", unless_started(RequestFailure::connection_closed));
 }
 
 void HttpGet::timer_expired(std::uint64_t token) {
-  if (token == token_ && asking_ && timers_.now() >= due_)
-    fail("no answer in time", unless_begun(RequestFailure::timeout));
+  if (token == token_ && pending_ && timers_.now() >= deadline_)
+    fail("request timed out", unless_started(RequestFailure::timeout));
 }
 
-void HttpGet::fail(const char* why, RequestFailure how) {
-  drop();
-  events_.http_failed(why, how);
+void HttpGet::fail(const char* reason, RequestFailure failure) {
+  cancel();
+  events_.http_failed(reason, failure);
 }
 
 }  // namespace flintweir::net
--- a/src/net/http_get.h
+++ b/src/net/http_get.h
@@ -1,4 +1,4 @@
-// One HTTP/1.1 GET at a time over a kept connection.
+// An HTTP/1.1 client for GET requests, one at a time, over a persistent connection.
 #pragma once
 
 #include <http_parser.h>
@@ -11,9 +11,9 @@
 namespace flintweir::net {
 
 enum class RequestFailure {
-  timeout,            // no byte of a response came in time
-  truncated,          // a response began and did not come whole, or is not HTTP
-  connection_closed,  // without a response, or it did not come up
+  timeout,            // no byte of a response arrived in time
+  truncated,          // a response started but is incomplete, or it is not valid HTTP
+  connection_closed,  // the connection failed, or was closed before any byte of a response
   connection_refused
 };
 
@@ -22,19 +22,24 @@
   class Events {
    public:
     virtual void http_response(unsigned status, std::string& body) = 0;
-    virtual void http_failed(const char* why, RequestFailure how) = 0;
+    // `reason` is a static text for the log.
+    virtual void http_failed(const char* reason, RequestFailure failure) = 0;
 
    protected:
     ~Events() = default;
   };
-  HttpGet(Sockets& sockets, TimerQueue& timers, const Address& at, Events& events);
+  // The references have to outlive this object.
+  HttpGet(Sockets& sockets, TimerQueue& timers, const Address& server, Events& events);
 
-  // One call on Events ends it, in a later turn. The service may wait for so long before it begins to answer;
-  // that and the answer's end may each come `slack` later.
-  void get(std::string_view path, Micros wait, Micros slack);
-  // From now on asks there; a call that is out ends without a word.
-  void set_server(const Address& at);
-  const Address& server() const { return at_; }
+  // Sends a request; exactly one call on Events ends it, from a later turn of the event loop and not from
+  // within get(). A request still pending is replaced. The server may take up to `server_wait` before it
+  // starts the response (a long poll). `margin` is allowed on top of that for the first byte, and once more
+  // from the first byte to the end of the response.
+  void get(std::string_view path, Micros server_wait, Micros margin);
+  // Sends later requests to another server. Closes the connection and cancels a pending request; no call on
+  // Events follows for it.
+  void set_server(const Address& server);
+  const Address& server() const { return server_; }
 
  private:
   void connected(Stream&, ConnectResult result) override;
@@ -43,24 +48,26 @@
   void broken(Stream&) override;
   void timer_expired(std::uint64_t token) override;
   void send();
-  void drop();  // the call that is out, with its connection
-  void fail(const char* why, RequestFailure how);
-  // How a call fails of which nothing more is to be had.
-  RequestFailure unless_begun(RequestFailure how) const { return begun_ ? RequestFailure::truncated : how; }
-  void expect(Micros within);  // what comes next
+  void cancel();  // the pending request; closes its connection
+  void fail(const char* reason, RequestFailure failure);
+  // `failure`, or truncated where a response had started.
+  RequestFailure unless_started(RequestFailure failure) const {
+    return response_started_ ? RequestFailure::truncated : failure;
+  }
+  void set_deadline(Micros from_now);  // of the next step of the request
 
   Stream stream_;
   TimerQueue& timers_;
-  Address at_;
-  std::string host_;
+  Address server_;
+  std::string host_header_;
   Events& events_;
   http_parser parser_{};
   http_parser_settings callbacks_{};
   std::string request_, body_;
-  std::size_t sent_ = 0;
-  std::uint64_t token_ = 0;
-  Micros asked_at_{0}, wait_{0}, slack_{0}, due_{0};
-  bool asking_ = false, kept_ = false, begun_ = false, whole_ = false;
+  std::size_t sent_ = 0;     // bytes of request_
+  std::uint64_t token_ = 0;  // of the pending request's timers; older timers are ignored
+  Micros requested_at_{0}, server_wait_{0}, margin_{0}, deadline_{0};
+  bool pending_ = false, reused_connection_ = false, response_started_ = false, response_complete_ = false;
 };
 
 }  // namespace flintweir::net
