--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -12,35 +12,35 @@
 
 namespace {
 
-thread_local LogSink* elsewhere = nullptr;
+thread_local LogSink* thread_sink = nullptr;
 
-constexpr std::size_t kLongestLogLine = 1023;
+constexpr std::size_t kMaxLogLineBytes = 1023;  // without the newline
 
-// Whether a line is taken at once. Guards against a pipe that is full as nobody reads it: waiting for its
-// reader would hold up all clients.
+// Whether a write would not block. Standard error may be a pipe that is full because nobody reads it: waiting
+// for its reader would block all clients.
 bool can_write() {
   pollfd log{STDERR_FILENO, POLLOUT, 0};
   return poll(&log, 1, 0) > 0 && (log.revents & POLLOUT) != 0;
 }
 
-// In one piece: a pipe takes as much as a line at once, or nothing.
+// Writes the line with one system call: a pipe accepts a write of this size as a whole or not at all.
 void write_line(std::string_view text) {
-  char line[kLongestLogLine + 1];
-  const std::size_t size = text.copy(line, kLongestLogLine);
+  char line[kMaxLogLineBytes + 1];
+  const std::size_t size = text.copy(line, kMaxLogLineBytes);
   line[size] = '\n';
-  // A line that can't be written is lost: there is nowhere to say so.
-  [[maybe_unused]] const ssize_t taken = write(STDERR_FILENO, line, size + 1);
+  // A line that can't be written is lost: there is no other place to report it.
+  [[maybe_unused]] const ssize_t written = write(STDERR_FILENO, line, size + 1);
 }
 
-// Whether a line more may be written in this second.
-bool may_write() {
+// Applies the limit on lines in one second, and reports dropped lines at the start of the next one.
+bool admit_line() {
   using Clock = std::chrono::steady_clock;
   constexpr unsigned kLinesPerSecond = 500;
-  static Clock::time_point second = Clock::now();
-  static unsigned written = 0, dropped = 0;
-  if (const auto now = Clock::now(); now - second >= std::chrono::seconds(1)) {
-    second = now;
-    written = 0;
+  static Clock::time_point second_start = Clock::now();
+  static unsigned lines_written = 0, dropped = 0;
+  if (const auto now = Clock::now(); now - second_start >= std::chrono::seconds(1)) {
+    second_start = now;
+    lines_written = 0;
     if (dropped > 0 && can_write()) {
       char line[40];
       std::snprintf(line, sizeof line, "log: %u lines dropped", dropped);
@@ -48,23 +48,23 @@
       dropped = 0;
     }
   }
-  if (written >= kLinesPerSecond || !can_write()) return ++dropped, false;
-  ++written;
+  if (lines_written >= kLinesPerSecond || !can_write()) return ++dropped, false;
+  ++lines_written;
   return true;
 }
 
 }  // namespace
 
-void set_log_sink(LogSink* sink) { elsewhere = sink; }
+void set_log_sink(LogSink* sink) { thread_sink = sink; }
 
 void log_line(const char* format, ...) {
-  if (!elsewhere && !may_write()) return;
-  char line[kLongestLogLine + 1];
+  if (!thread_sink && !admit_line()) return;
+  char line[kMaxLogLineBytes + 1];
   std::va_list args;
   va_start(args, format);
   std::vsnprintf(line, sizeof line, format, args);
   va_end(args);
-  if (elsewhere) return elsewhere->write_line(line);
+  if (thread_sink) return thread_sink->write_line(line);
   write_line(line);
 }
 
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -1,9 +1,8 @@
-// The one place that writes log lines.
+// Log output. All log lines of a node are written here.
 #pragma once
 
 namespace flintweir::net {
 
-// Where this thread's lines go instead of standard error, all of them; null: back there.
 class LogSink {
  public:
   virtual void write_line(const char* text) = 0;
@@ -11,10 +10,12 @@
  protected:
   ~LogSink() = default;
 };
+// Sends the log lines of this thread to `sink` instead of standard error, without a rate limit; null restores
+// standard error. The sink has to outlive its use.
 void set_log_sink(LogSink* sink);
 
-// One line to standard error, printf style. Past a burst, lines of a second too
-// many are dropped and counted, and so are those that would have to wait for whoever reads them.
+// Writes one line to standard error, printf style. Never blocks: lines above the limit for one second, and
+// lines that could only be written by waiting for the reader of a pipe, are dropped and counted.
 [[gnu::format(printf, 1, 2)]] void log_line(const char* format, ...);
 
 }  // namespace flintweir::net
