--- a/src/net/network.h
+++ b/src/net/network.h
@@ -1,6 +1,7 @@
-// The outside of a node at the level of system calls: sockets, the clock and one alarm. KernelNetwork gives
-// the kernel's; the lab gives a virtual one, so that the same node runs in both. Calls never block. What is
-// heard comes in a later turn, never from within a call.
+// The operating system as a node uses it: sockets, the clock and one alarm. KernelNetwork implements it on
+// the kernel, the lab implements it as a simulation, so that the same node code runs on both. No call blocks.
+// Events are delivered from a later turn of the event loop, never from within a call. The event objects
+// passed in have to outlive the events they wait for.
 #pragma once
 
 #include <cstddef>
@@ -15,15 +16,15 @@
 
 enum class ConnectResult {
   established,
-  refused,  // by the other machine: no process listens there
-  failed    // not up, for another reason, which may lie with this machine or the network
+  refused,  // by the remote machine: no process listens there
+  failed    // for another reason, which may lie with this machine or with the network
 };
 
 class SocketEvents {
  public:
   virtual void connected(ConnectResult result) = 0;
-  virtual void readable(bool broken) = 0;  // once for each wait_read()
-  virtual void writable(bool broken) = 0;  // once for each wait_write()
+  virtual void readable(bool failed) = 0;  // once for each wait_read(); failed: the connection is lost
+  virtual void writable(bool failed) = 0;  // once for each wait_write()
 
  protected:
   ~SocketEvents() = default;
@@ -57,59 +58,64 @@
 
 struct IoResult {
   std::size_t bytes = 0;
-  IoStatus status = IoStatus::done;
+  IoStatus status = IoStatus::done;  // closed: the peer has shut down its sending direction
 };
 
 struct AcceptResult {
   SocketKey socket;
-  IoStatus status = IoStatus::done;  // would_block: nobody waits; closed: whoever connection_waits has gone
-                                     // again; failed: see error
-  const char* error = "";            // static text, or good until the next call
+  // would_block: no connection is pending; closed: the pending connection was aborted by the client; failed:
+  // see error.
+  IoStatus status = IoStatus::done;
+  const char* error = "";  // static, or valid until the next call
 };
 
 struct ReceiveResult {
   std::size_t bytes = 0;
   Address from;
-  IoStatus status =
-      IoStatus::done;  // would_block: nothing waits; failed: this one is lost, the next may be well
+  // would_block: no datagram is pending; failed: this datagram is lost, the next call may succeed.
+  IoStatus status = IoStatus::done;
 };
 
 class Network {
  public:
   virtual ~Network() = default;
 
-  // Steady time that starts as Unix time, so that it never steps and is comparable with hosts' start times.
+  // A monotonic clock that starts at the Unix time: it never steps, and is comparable with the start times
+  // that hosts report.
   virtual Micros now() const = 0;
-  // Microseconds that go on while the machine sleeps, from any beginning: for leases, whose end comes all the
-  // same.
+  // A monotonic clock with any origin that also counts while the machine is suspended: for leases, which
+  // expire then as well.
   virtual Micros now_including_suspend() const { return now(); }
-  // One alarm for each network: a later call takes the place of an earlier one.
-  virtual void set_alarm(Micros at, AlarmEvents& whom) = 0;
+  // Sets the only alarm of this network, by the clock of now(). A later call replaces an earlier one.
+  virtual void set_alarm(Micros at, AlarmEvents& events) = 0;
 
-  // Listens at an address and tells where (port 0 takes a free one). Throws std::system_error.
+  // Listens at an address, and returns the address that is bound (port 0 selects a free port). Throws
+  // std::system_error.
   virtual Address listen(const Address& at) = 0;
-  virtual void wait_accept(AcceptEvents& whom) = 0;
+  virtual void wait_accept(AcceptEvents& events) = 0;
   virtual AcceptResult accept() = 0;
 
-  // Begins to connect; a key that is not live (generation 0) where no descriptor is left.
-  virtual SocketKey connect(const Address& to, SocketEvents& whom) = 0;
-  virtual void set_events(SocketKey socket,
-                          SocketEvents& whom) = 0;  // whom an accepted socket's events go to
+  // Starts to connect. Returns a key that is not valid (generation 0) if no file descriptor is left.
+  virtual SocketKey connect(const Address& to, SocketEvents& events) = 0;
+  // Sets the receiver of a socket's events; for sockets from accept().
+  virtual void set_events(SocketKey socket, SocketEvents& events) = 0;
   virtual void wait_read(SocketKey socket) = 0;
   virtual void wait_write(SocketKey socket) = 0;
   virtual IoResult read(SocketKey socket, char* to, std::size_t size) = 0;
-  virtual IoResult write(SocketKey socket, std::span<const std::string_view> parts) = 0;  // gathered
+  virtual IoResult write(SocketKey socket, std::span<const std::string_view> parts) = 0;  // gathers the parts
+  // Shuts down the sending direction; the socket can still be read.
   virtual void shutdown_send(SocketKey socket) = 0;
-  virtual void close(SocketKey socket, bool reset) = 0;
+  virtual void close(SocketKey socket, bool reset) = 0;  // reset: with a TCP reset
 
-  // Datagrams, at one address for each network. Any may be lost, late, doubled or spoilt: one that cannot be
-  // sent is lost, which is no error. Throws std::system_error where it can't have the address.
+  // Opens the datagram socket, one for each network. Throws std::system_error if the address can't be bound.
+  // Any datagram may be lost, delayed, duplicated or corrupted; one that can't be sent is lost, which is not
+  // reported as an error.
   virtual Address open_datagrams(const Address& at) = 0;
-  virtual void wait_datagram(DatagramEvents& whom) = 0;
+  virtual void wait_datagram(DatagramEvents& events) = 0;
   virtual ReceiveResult receive(char* to, std::size_t size) = 0;
   virtual void send_datagram(const Address& to, std::string_view bytes) = 0;
 
-  virtual void stop() = 0;  // ends the loop that calls all this
+  virtual void stop() = 0;  // ends the event loop
 };
 
 }  // namespace flintweir::net
--- a/src/net/null_network.h
+++ b/src/net/null_network.h
@@ -1,5 +1,5 @@
-// A network that leads nowhere and on which nothing ever happens: for reading a configuration as a start
-// would.
+// A network without connections, events or time. Serves to validate a configuration: a node is constructed on
+// it as at a start, without effects on the system.
 #pragma once
 
 #include "net/network.h"
--- a/src/net/slot_pool.h
+++ b/src/net/slot_pool.h
@@ -1,5 +1,5 @@
-// Sockets at places that never move and are used again, found by a key that outlives them safely. Unlike in a
-// slab a look-up is one comparison: it is made with each system call.
+// A pool of objects with stable addresses, found by keys that detect reuse. Unlike in a Slab, a lookup takes
+// one comparison and no index check: it is done for each system call.
 #pragma once
 
 #include <cstdint>
@@ -9,23 +9,28 @@
 
 namespace flintweir::net {
 
-// Names one socket for as long as it is open; a key that is over is never another's. Generation 0: none.
+// Identifies one socket while it is open. A key of a closed socket never matches another socket. Generation
+// 0: no socket.
 struct SocketKey {
-  void* slot = nullptr;  // its network's own
+  void* slot = nullptr;  // owned by the network that returned the key
   std::uint32_t generation = 0;
 };
 
+// Values stay in their slots after release, and are reused by a later acquire() in the state they were left
+// in. Keys must not be used after the pool is destroyed.
 template <class T>
 class SlotPool {
  public:
+  // Takes a free slot. `args` construct the value of a new slot only.
   template <class... Args>
   SocketKey acquire(Args&&... args) {
-    if (free_.empty()) free_.push_back(&all_.emplace_back(std::forward<Args>(args)...));
+    if (free_.empty()) free_.push_back(&slots_.emplace_back(std::forward<Args>(args)...));
     Slot* const slot = free_.back();
     free_.pop_back();
     slot->used = true;
     return {slot, ++slot->generation};
   }
+  // Null where the key's slot was released.
   static T* find(SocketKey key) {
     Slot* const slot = static_cast<Slot*>(key.slot);
     return slot && slot->generation == key.generation && slot->used ? &slot->value : nullptr;
@@ -36,11 +41,11 @@
     slot->used = false;
     free_.push_back(slot);
   }
-  // Calls visit(key, value) in the order in which places were first lent.
+  // Calls visit(key, value) for each slot in use, in the order in which the slots were created.
   template <class Visit>
   void for_each(Visit visit) {
-    for (Slot& p : all_)
-      if (p.used) visit(SocketKey{&p, p.generation}, p.value);
+    for (Slot& slot : slots_)
+      if (slot.used) visit(SocketKey{&slot, slot.generation}, slot.value);
   }
 
  private:
@@ -51,7 +56,7 @@
     std::uint32_t generation = 0;
     bool used = false;
   };
-  std::deque<Slot> all_;
+  std::deque<Slot> slots_;
   std::vector<Slot*> free_;
 };
 
