--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -23,36 +23,36 @@
 }
 
 void Stream::want_read() {
-  if (!open() || reading_ || at_eof_ || input_.full()) return;
-  reading_ = true;
+  if (!open() || waiting_to_read_ || at_eof_ || input_.full()) return;
+  waiting_to_read_ = true;
   sockets_.network().wait_read(socket_);
 }
 
 void Stream::want_write() {
-  if (!open() || writing_) return;
-  writing_ = true;
+  if (!open() || waiting_to_write_) return;
+  waiting_to_write_ = true;
   sockets_.network().wait_write(socket_);
 }
 
-void Stream::readable(bool broken) {
-  reading_ = false;
-  if (broken) return events_->broken(*this);
+void Stream::readable(bool failed) {
+  waiting_to_read_ = false;
+  if (failed) return events_->broken(*this);
   read();
 }
 
-void Stream::writable(bool broken) {
-  writing_ = false;
-  if (broken) return events_->broken(*this);
+void Stream::writable(bool failed) {
+  waiting_to_write_ = false;
+  if (failed) return events_->broken(*this);
   events_->writable(*this);
 }
 
 void Stream::read() {
   const auto [to, size] = input_.free_space();
-  const IoResult got = sockets_.network().read(socket_, to, size);
-  if (got.status == IoStatus::would_block) return want_read();
-  if (got.status == IoStatus::failed) return events_->broken(*this);
-  if (got.status == IoStatus::closed) at_eof_ = true;
-  input_.commit(got.bytes);
+  const IoResult result = sockets_.network().read(socket_, to, size);
+  if (result.status == IoStatus::would_block) return want_read();
+  if (result.status == IoStatus::failed) return events_->broken(*this);
+  if (result.status == IoStatus::closed) at_eof_ = true;
+  input_.commit(result.bytes);
   events_->input_ready(*this);
 }
 
@@ -60,17 +60,17 @@
   if (!open() || at_eof_) return false;
   if (input_.full()) return true;
   const auto [to, size] = input_.free_space();
-  const IoResult got = sockets_.network().read(socket_, to, size);
-  if (got.status == IoStatus::closed) at_eof_ = true;
-  input_.commit(got.bytes);
-  return got.status == IoStatus::done || got.status == IoStatus::would_block;
+  const IoResult result = sockets_.network().read(socket_, to, size);
+  if (result.status == IoStatus::closed) at_eof_ = true;
+  input_.commit(result.bytes);
+  return result.status == IoStatus::done || result.status == IoStatus::would_block;
 }
 
 std::optional<std::size_t> Stream::write(std::span<const std::string_view> parts) {
   if (!open() || send_closed_) return std::nullopt;
-  const IoResult taken = sockets_.network().write(socket_, parts);
-  if (taken.status == IoStatus::failed) return std::nullopt;
-  return taken.bytes;
+  const IoResult result = sockets_.network().write(socket_, parts);
+  if (result.status == IoStatus::failed) return std::nullopt;
+  return result.bytes;
 }
 
 std::optional<std::size_t> Stream::write(std::string_view text) { return write(std::span(&text, 1)); }
@@ -85,7 +85,7 @@
     sockets_.network().close(std::exchange(socket_, {}), reset);
     sockets_.count_closed();
   }
-  reading_ = writing_ = at_eof_ = send_closed_ = false;
+  waiting_to_read_ = waiting_to_write_ = at_eof_ = send_closed_ = false;
   input_.clear();
 }
 
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,6 +1,6 @@
-// One TCP connection with a callback object. Reads and writes are plain non-blocking calls made when the
-// socket is ready, so that it is always known exactly what the kernel has taken, and nothing is held by a
-// pending operation.
+// A TCP connection that reports its events to a callback object. Reads and writes are non-blocking calls made
+// when the socket is ready. So it is known exactly how many bytes the kernel has taken, and no pending
+// operation holds a buffer.
 #pragma once
 
 #include <cstdint>
@@ -18,56 +18,65 @@
 class StreamEvents {
  public:
   virtual void connected(Stream&, ConnectResult) {}
-  virtual void input_ready(Stream& stream) = 0;  // new bytes are in, or the other side has ended its sending
-  virtual void writable(Stream&) {}              // as asked for
-  virtual void broken(Stream& stream) = 0;       // reset or lost; the stream is still to be closed
+  // New bytes are buffered, or the peer has shut down its sending direction (see at_eof()).
+  virtual void input_ready(Stream& stream) = 0;
+  virtual void writable(Stream&) {}  // once for each want_write()
+  virtual void broken(
+      Stream& stream) = 0;  // the connection was reset or lost; the owner still has to close it
 
  protected:
   ~StreamEvents() = default;
 };
 
-// Lives at a place that is used again; no callback of an earlier use comes, as its socket is closed.
+// May be reused for another connection after close(). No event of the previous connection is delivered then.
 class Stream final : SocketEvents {
  public:
+  // `sockets` has to outlive the stream.
   explicit Stream(Sockets& sockets) : sockets_(sockets) {}
   ~Stream() { close(); }
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
+  // Takes over an accepted socket.
   void adopt(SocketKey socket, StreamEvents& events);
-  bool connect(const Address& to, StreamEvents& events);  // false: no descriptor
+  // Starts to connect; false: no file descriptor is left.
+  bool connect(const Address& to, StreamEvents& events);
   void set_events(StreamEvents& events) { events_ = &events; }
 
   bool open() const { return socket_.generation != 0; }
-  bool at_eof() const { return at_eof_; }  // the other side has ended its sending
-  bool send_closed() const { return send_closed_; }
+  bool at_eof() const { return at_eof_; }            // the peer has shut down its sending direction
+  bool send_closed() const { return send_closed_; }  // shutdown_send() was called
   LineBuffer& input() { return input_; }
 
+  // Asks for input_ready(), unless the input has ended or its buffer is full.
   void want_read();
-  void read();  // what is there at once, else when it comes
-  // Takes in what is there without a callback; false: the other side has ended its sending, or the connection
-  // is broken, as far as can be seen behind what is held.
+  // Reads now and calls input_ready(), or waits for bytes where there are none.
+  void read();
+  // Reads now without a callback. False: the peer has shut down its sending direction, or the connection is
+  // broken. Neither shows while the buffer is full, or while there are earlier bytes to read.
   bool read_available();
-  // A kept connection that may be asked again: open, not ended, and nothing on it that nobody asked for.
+  // Whether a persistent connection can carry another request: it is open, has not ended, and holds no
+  // unrequested bytes.
   bool reusable() { return read_available() && input_.empty(); }
   void want_write();
-  // What the kernel took of it; nothing where the connection is broken.
+  // Returns the number of bytes that the kernel took; empty if the connection is broken or closed for
+  // sending.
   std::optional<std::size_t> write(std::span<const std::string_view> parts);
   std::optional<std::size_t> write(std::string_view text);
   void shutdown_send();
   void close() { close(false); }
-  void abort() { close(true); }  // with a reset
+  void abort() { close(true); }  // with a TCP reset
 
  private:
   void connected(ConnectResult result) override { events_->connected(*this, result); }
-  void readable(bool broken) override;
-  void writable(bool broken) override;
+  void readable(bool failed) override;
+  void writable(bool failed) override;
   void close(bool reset);
 
   Sockets& sockets_;
   SocketKey socket_;  // generation 0: none
   StreamEvents* events_ = nullptr;
-  bool reading_ = false, writing_ = false, at_eof_ = false, send_closed_ = false;
+  bool waiting_to_read_ = false, waiting_to_write_ = false, at_eof_ = false, send_closed_ = false;
   LineBuffer input_;
 };
 
