--- a/src/net/timer_queue.cpp
+++ b/src/net/timer_queue.cpp
@@ -4,32 +4,33 @@
 
 namespace flintweir::net {
 
-void TimerQueue::schedule(Micros in, TimerEvents& whom, std::uint64_t token) {
-  heap_.push_back({now() + std::max(in, Micros{0}), order_++, &whom, token});
+void TimerQueue::schedule(Micros delay, TimerEvents& events, std::uint64_t token) {
+  heap_.push_back({now() + std::max(delay, Micros{0}), next_sequence_++, &events, token});
   std::push_heap(heap_.begin(), heap_.end());
-  if (!running_) arm();
+  if (!dispatching_) update_alarm();
 }
 
-void TimerQueue::arm() {
-  if (heap_.empty() || heap_.front().at >= armed_) return;
-  armed_ = heap_.front().at;
-  network_.set_alarm(armed_, *this);
+void TimerQueue::update_alarm() {
+  if (heap_.empty() || heap_.front().expiry >= alarm_at_) return;
+  alarm_at_ = heap_.front().expiry;
+  network_.set_alarm(alarm_at_, *this);
 }
 
 void TimerQueue::alarm_expired() {
-  armed_ = Micros::max();
-  running_ = true;
-  // What the woken add for now waits for the next turn, so that sockets get theirs in between.
+  alarm_at_ = Micros::max();
+  dispatching_ = true;
+  // Timers that the callbacks add for now wait for the next turn of the event loop, so that socket events are
+  // handled in between.
   const Micros now_is = now();
-  const std::uint64_t last = order_;
-  while (!heap_.empty() && heap_.front().at <= now_is && heap_.front().order < last) {
+  const std::uint64_t first_new = next_sequence_;
+  while (!heap_.empty() && heap_.front().expiry <= now_is && heap_.front().sequence < first_new) {
     std::pop_heap(heap_.begin(), heap_.end());
-    const Due due = heap_.back();
+    const Timer timer = heap_.back();
     heap_.pop_back();
-    due.whom->timer_expired(due.token);
+    timer.events->timer_expired(timer.token);
   }
-  running_ = false;
-  arm();
+  dispatching_ = false;
+  update_alarm();
 }
 
 }  // namespace flintweir::net
--- a/src/net/timer_queue.h
+++ b/src/net/timer_queue.h
@@ -1,4 +1,4 @@
-// The time, and the one queue of all that is due later.
+// The queue of a node's timers, on the single alarm of its network; also gives the time.
 #pragma once
 
 #include <cstdint>
@@ -16,29 +16,37 @@
   ~TimerEvents() = default;
 };
 
-// Wake-ups can't be taken back: whoever is woken knows by the token whether it still wants to be.
+// Timers can't be cancelled. A receiver decides by the token whether a timer is still of interest.
 class TimerQueue final : AlarmEvents {
  public:
-  explicit TimerQueue(Network& network) : network_(network) { heap_.reserve(4096); }
+  // The network has to outlive this object.
+  explicit TimerQueue(Network& network) : network_(network) { heap_.reserve(kReservedTimers); }
   Micros now() const { return network_.now(); }
-  void schedule(Micros in, TimerEvents& whom, std::uint64_t token);
+  // Calls events.timer_expired(token) after `delay`, from the event loop; a zero delay means its next turn.
+  // Timers with the same expiry are called in the order in which they were scheduled. `events` has to outlive
+  // the timer.
+  void schedule(Micros delay, TimerEvents& events, std::uint64_t token);
 
  private:
-  struct Due {
-    Micros at;
-    std::uint64_t order;  // of two due at the same time
-    TimerEvents* whom;
+  static constexpr std::size_t kReservedTimers = 4096;
+  struct Timer {
+    Micros expiry;
+    std::uint64_t sequence;  // the order among timers with the same expiry
+    TimerEvents* events;
     std::uint64_t token;
-    bool operator<(const Due& o) const { return at != o.at ? at > o.at : order > o.order; }
+    // Inverted, so that the heap's front is the earliest timer.
+    bool operator<(const Timer& o) const {
+      return expiry != o.expiry ? expiry > o.expiry : sequence > o.sequence;
+    }
   };
-  void arm();
+  void update_alarm();
   void alarm_expired() override;
 
   Network& network_;
-  std::vector<Due> heap_;
-  std::uint64_t order_ = 0;
-  Micros armed_ = Micros::max();
-  bool running_ = false;
+  std::vector<Timer> heap_;
+  std::uint64_t next_sequence_ = 0;
+  Micros alarm_at_ = Micros::max();  // max: no alarm is set
+  bool dispatching_ = false;
 };
 
 }  // namespace flintweir::net
