--- a/src/net/kernel_network.h
+++ b/src/net/kernel_network.h
@@ -1,6 +1,6 @@
-// The kernel's sockets and clock behind Network, on one event loop (standalone Asio). Nothing else includes
-// Asio. Reads and writes are plain non-blocking calls made when a socket is ready, so that it is always
-// known exactly what the kernel has taken.
+// Network on the kernel's sockets and clocks, with an event loop of standalone Asio. No other file includes
+// Asio. Reads and writes are non-blocking calls made when a socket is ready, so that it is known exactly how
+// many bytes the kernel has taken.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,30 +20,31 @@
 
 class KernelNetwork final : public Network {
  public:
-  KernelNetwork() : own_(std::make_unique<asio::io_context>(1)), io_(*own_) {}
-  // On another's loop, which must outlive it: with sockets, an acceptor and an alarm of its own.
-  explicit KernelNetwork(KernelNetwork& beside) : own_memory_(beside.own_memory_), io_(beside.io_) {}
+  KernelNetwork() : own_io_(std::make_unique<asio::io_context>(1)), io_(*own_io_) {}
+  // Shares the event loop of another network, which has to outlive this one; with its own sockets, acceptor
+  // and alarm.
+  explicit KernelNetwork(KernelNetwork& other) : handler_memory_(other.handler_memory_), io_(other.io_) {}
 
   void run() { io_.run(); }  // until stop()
-  // Runs what is ready within so long; for a caller with a loop of its own.
-  void run_for(Micros within) {
-    io_.restart();  // where it was stopped
-    io_.run_for(within);
+  // Handles events for this time, or until stop(); for a caller with its own loop.
+  void run_for(Micros duration) {
+    io_.restart();  // after an earlier stop()
+    io_.run_for(duration);
   }
-  // Closes the acceptor and the datagrams and forgets the alarm, for good. Whoever is told of sockets has
-  // closed them.
+  // Closes the acceptor and the datagram socket and cancels the alarm, permanently. The owners of the other
+  // sockets have to close them before.
   void shut_down();
-  // Calls heard(number) for each of these signals from now on.
-  void handle_signals(std::initializer_list<int> numbers, std::function<void(int)> heard);
+  // From now on calls handler(number) from the event loop for each of these signals.
+  void handle_signals(std::initializer_list<int> numbers, std::function<void(int)> handler);
 
   Micros now() const override;
   Micros now_including_suspend() const override;
-  void set_alarm(Micros at, AlarmEvents& whom) override;
+  void set_alarm(Micros at, AlarmEvents& events) override;
   Address listen(const Address& at) override;
-  void wait_accept(AcceptEvents& whom) override;
+  void wait_accept(AcceptEvents& events) override;
   AcceptResult accept() override;
-  SocketKey connect(const Address& to, SocketEvents& whom) override;
-  void set_events(SocketKey socket, SocketEvents& whom) override;
+  SocketKey connect(const Address& to, SocketEvents& events) override;
+  void set_events(SocketKey socket, SocketEvents& events) override;
   void wait_read(SocketKey socket) override;
   void wait_write(SocketKey socket) override;
   IoResult read(SocketKey socket, char* to, std::size_t size) override;
@@ -51,13 +52,13 @@
   void shutdown_send(SocketKey socket) override;
   void close(SocketKey socket, bool reset) override;
   Address open_datagrams(const Address& at) override;
-  void wait_datagram(DatagramEvents& whom) override;
+  void wait_datagram(DatagramEvents& events) override;
   ReceiveResult receive(char* to, std::size_t size) override;
   void send_datagram(const Address& to, std::string_view bytes) override;
   void stop() override { io_.stop(); }
 
  private:
-  // With the loop's own executor, which needs no type erased at each wait.
+  // The executor of io_context itself: the default any_io_executor would add type erasure to each wait.
   using Executor = asio::io_context::executor_type;
   using Socket = asio::basic_stream_socket<asio::ip::tcp, Executor>;
   using Timer = asio::basic_waitable_timer<std::chrono::steady_clock,
@@ -65,31 +66,33 @@
   struct Entry {
     explicit Entry(asio::io_context& io) : socket(io) {}
     Socket socket;
-    SocketEvents* whom = nullptr;
+    SocketEvents* events = nullptr;
   };
+  // Binds the handler to the pooled memory.
   template <class Handler>
-  auto kept(Handler handler);  // with memory that is used again
-  template <bool reading>
+  auto with_pooled_memory(Handler handler);
+  template <bool is_read>
   void wait(SocketKey key);
-  static ConnectResult result_of(std::error_code error);
-  SocketKey adopt(Socket socket, SocketEvents* whom);
-  void next_signal();
+  static ConnectResult connect_result(std::error_code error);
+  SocketKey add_socket(Socket socket, SocketEvents* events);
+  void wait_signal();
 
-  // Outlives what is pending in the loop, whoever of those on it goes first.
-  std::shared_ptr<HandlerMemory> own_memory_ = std::make_shared<HandlerMemory>();
-  HandlerMemory& memory_ = *own_memory_;
-  std::unique_ptr<asio::io_context> own_;
+  // Shared by all networks on one event loop, as it has to outlive the handlers pending there, whichever
+  // network is destroyed first.
+  std::shared_ptr<HandlerMemory> handler_memory_ = std::make_shared<HandlerMemory>();
+  HandlerMemory& memory_ = *handler_memory_;
+  std::unique_ptr<asio::io_context> own_io_;
   asio::io_context& io_;
-  std::chrono::system_clock::duration zero_ = std::chrono::system_clock::now().time_since_epoch();
-  std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now();
-  Timer timer_{io_};
+  std::chrono::system_clock::duration start_unix_time_ = std::chrono::system_clock::now().time_since_epoch();
+  std::chrono::steady_clock::time_point start_ = std::chrono::steady_clock::now();
+  Timer alarm_{io_};
   asio::basic_socket_acceptor<asio::ip::tcp, Executor> acceptor_{io_};
-  asio::basic_datagram_socket<asio::ip::udp, Executor> post_{io_};
+  asio::basic_datagram_socket<asio::ip::udp, Executor> datagram_socket_{io_};
   asio::signal_set signals_{io_};
-  std::function<void(int)> heard_;
+  std::function<void(int)> signal_handler_;
   bool shut_down_ = false;
   SlotPool<Entry> sockets_;
-  std::string why_;
+  std::string accept_error_;
 };
 
 }  // namespace flintweir::net
