--- a/src/setup/config_change.h
+++ b/src/setup/config_change.h
@@ -1,5 +1,5 @@
-// The text of a change of configuration (TOML): what of the settings may change while a node runs. All that
-// it does not name stands as in the node's own file.
+// A change of configuration (TOML): the settings that may change while nodes run. A setting that the change
+// does not name keeps the value of the node's own file.
 #pragma once
 
 #include <map>
@@ -19,28 +19,29 @@
 };
 
 struct ConfigChange {
-  // All that is wrong is found, a line for each, as in the operator's file.
+  // Reports all errors, one line each, as OperatorFile::parse() does.
   static ConfigChange parse(const std::string& text, const std::string& path,
-                            std::vector<std::string>& wrong);
+                            std::vector<std::string>& errors);
 
   std::optional<Address> discovery;
   std::map<std::string, ListenerChange> listeners;
-  std::optional<unsigned> most_dials;
-  std::optional<double> probe, crossing;
+  std::optional<unsigned> max_dials;
+  std::optional<double> probe, crossing;  // prices
 };
 
-// What a node runs by that a change may touch.
+// The settings of a running node that a change may affect.
 struct RuntimeSettings {
   std::vector<Listener> listeners;
   DialLimits dials;
   Prices prices;
 };
 
-// As the node's file has it. Throws InvalidInput.
+// The settings as the node's own file has them. Throws InvalidInput.
 RuntimeSettings read_runtime_settings(const JsonObject& settings);
 
-// The same with the change; what does not fit this node is said in `wrong`, and then nothing of it counts.
-RuntimeSettings apply_change(RuntimeSettings own, const std::vector<std::string>& listener_names,
-                             const ConfigChange& change, std::vector<std::string>& wrong);
+// Returns the settings with the change applied. Reports in `errors` what is not valid for this node; the
+// caller must not use the result then.
+RuntimeSettings apply_change(RuntimeSettings settings, const std::vector<std::string>& listener_names,
+                             const ConfigChange& change, std::vector<std::string>& errors);
 
 }  // namespace flintweir::setup
--- a/src/setup/operator.h
+++ b/src/setup/operator.h
@@ -1,5 +1,5 @@
-// The operator's own file (TOML): what a node does beyond what the platform's configuration asks for. Without
-// the file, or without a section, all that the section turns on is off.
+// The operator's file (TOML): features of a node beyond the platform's configuration. Each section enables
+// one feature; without the section, or without the file, the feature is off.
 #pragma once
 
 #include <optional>
@@ -11,43 +11,43 @@
 
 namespace flintweir::setup {
 
-// Section [fleet]: the fleet whose nodes know each other.
+// Section [fleet]: the node is a member of a fleet, whose nodes keep track of each other.
 struct FleetSection {
   std::string name, zone;
-  Address address, advertised;
+  Address address, advertised;  // to bind, and to give to other members; the same unless set
   std::vector<Address> seeds;
   Micros probe_interval;    // between two probes
-  Micros forget_after;      // a member that failed so long ago counts no more
-  std::size_t max_members;  // members known at a time
+  Micros forget_after;      // a member that failed longer ago than this no longer counts
+  std::size_t max_members;  // limit on the known members
   bool operator==(const FleetSection&) const = default;
 };
 
-// Section [leases]: leases for fleet-wide tasks, granted by a majority of these nodes.
+// Section [leases]: leases for fleet-wide tasks, granted by a majority of the voters.
 struct LeasesSection {
-  std::vector<std::string> voters;  // by name
+  std::vector<std::string> voters;  // node names
   Micros length;
-  std::string folder;  // where a voter keeps its promises; empty: nowhere
+  std::string folder;  // where a voter stores its promises; empty: they are not stored
   bool operator==(const LeasesSection&) const = default;
 };
 
-// Section [changes]: changes of configuration carried from node to node.
+// Section [changes]: changes of configuration, replicated from node to node at run time.
 struct ChangesSection {
-  std::string folder;  // where the newest is kept for the next start; empty: nowhere
+  std::string folder;  // where the newest change is stored for the next start; empty: it is not stored
   bool operator==(const ChangesSection&) const = default;
 };
 
 class OperatorFile {
  public:
-  // All that is wrong is found, a line for each: FILE:LINE:COLUMN: KEY: what, and what is allowed.
-  static OperatorFile load(const std::string& path, std::vector<std::string>& wrong);
+  // Reports all errors, one line each: FILE:LINE:COLUMN: KEY: the error, with the allowed values.
+  static OperatorFile load(const std::string& path, std::vector<std::string>& errors);
   static OperatorFile parse(const std::string& text, const std::string& path,
-                            std::vector<std::string>& wrong);
-  // Throws InvalidInput with the first line of what is wrong.
+                            std::vector<std::string>& errors);
+  // Throws InvalidInput with the first error.
   static OperatorFile load_or_throw(const std::string& path);
 
   std::optional<FleetSection> fleet;
-  std::optional<LeasesSection> leases;    // only beside a fleet
-  std::optional<ChangesSection> changes;  // only beside a fleet
+  std::optional<LeasesSection> leases;    // requires fleet
+  std::optional<ChangesSection> changes;  // requires fleet
 };
 
 }  // namespace flintweir::setup
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -88,7 +88,7 @@
       "f", wrong);
   EXPECT_TRUE(wrong.empty()) << wrong.front();
   EXPECT_EQ(good.listeners.at("chat").handshake_target, 300ms);
-  EXPECT_EQ(good.most_dials, 3u);
+  EXPECT_EQ(good.max_dials, 3u);
   EXPECT_EQ(good.crossing, 0.0);
   for (const auto& [text, says] : std::vector<std::pair<const char*, const char*>>{
            {"discovery = 5\n", "f:1:13: change.discovery"},
