--- a/src/setup/deployment.cpp
+++ b/src/setup/deployment.cpp
@@ -7,34 +7,38 @@
 namespace flintweir::setup {
 namespace {
 
-Effect effect_named(std::string_view name) {
+constexpr double kMaxMicros = 1e15;  // longer times are invalid
+
+Effect parse_effect(std::string_view name) {
   if (name == "repeatable") return Effect::repeatable;
   if (name == "by_key") return Effect::referenced;
   if (name == "once") return Effect::once_only;
   throw_invalid_input("settings: unknown effect '" + std::string(name) + "'");
 }
 
-DedupScope reach_named(std::string_view name) {
+DedupScope parse_dedup_scope(std::string_view name) {
   if (name == "all") return DedupScope::all;
   if (name == "zone") return DedupScope::zone;
   if (name == "cell") return DedupScope::cell;
   throw_invalid_input("settings: unknown group '" + std::string(name) + "'");
 }
 
-// By listener; those that the settings don't name have none.
-std::vector<Micros> message_targets(const JsonObject& settings) {
+// One for each listener, zero for none. May be shorter than the list of listeners, whose rest have none.
+std::vector<Micros> read_message_targets(const JsonObject& settings) {
   std::vector<Micros> out;
   if (!settings.has("familyInfo")) return out;
   const JsonObject family(settings, "familyInfo");
   if (!family.has("messageAim")) return out;
   for (const simdjson::dom::element e : family.array("messageAim")) {
-    double aim;
-    out.push_back(!e.get(aim) && aim > 0 && aim < 1e15 ? Micros{std::llround(aim)} : Micros{0});
+    double micros;
+    out.push_back(!e.get(micros) && micros > 0 && micros < kMaxMicros ? Micros{std::llround(micros)}
+                                                                      : Micros{0});
   }
   return out;
 }
 
-// The weights of the result. No decision follows from them; a part that asks for no nines says nothing.
+// Validates the weights of the availability goal, which no decision uses. A part without weight needs no
+// number of nines.
 void check_goal(const JsonObject& settings) {
   if (!settings.has("goal")) return;
   const JsonObject goal(settings, "goal");
@@ -42,15 +46,16 @@
   if (part > 0 && wanted <= 0) throw_invalid_input("settings.goal.ninesWanted is missing or not above zero");
 }
 
-// Further dials are rationed where all three say so, and nowhere else.
-std::optional<RetryBudgetLimits> further_dials(const JsonObject& rules) {
-  const bool floor = rules.has("extraFloor"), share = rules.has("extraPerRequest"),
-             span = rules.has("budgetSpan");
-  if (!floor && !share && !span) return std::nullopt;
-  if (!floor || !share || !span)
-    throw_invalid_input("settings.rules: extraFloor, extraPerRequest and budgetSpan come together");
+// The budget of dials beyond the first of each session: all three keys are set, or none of them for no limit.
+std::optional<RetryBudgetLimits> read_retry_budget(const JsonObject& rules) {
+  const bool has_floor = rules.has("extraFloor"), has_share = rules.has("extraPerRequest"),
+             has_span = rules.has("budgetSpan");
+  if (!has_floor && !has_share && !has_span) return std::nullopt;
+  if (!has_floor || !has_share || !has_span)
+    throw_invalid_input("settings.rules: extraFloor, extraPerRequest and budgetSpan have to be set together");
   const double micros = rules.non_negative("budgetSpan");
-  if (micros < 1 || micros > 1e15) throw_invalid_input("settings.rules.budgetSpan is not a time above zero");
+  if (micros < 1 || micros > kMaxMicros)
+    throw_invalid_input("settings.rules.budgetSpan is not a time above zero");
   return RetryBudgetLimits{rules.non_negative("extraFloor"), rules.non_negative("extraPerRequest"),
                            Micros{std::llround(micros)}};
 }
@@ -59,12 +64,14 @@
 
 std::vector<Listener> read_listeners(const JsonObject& settings) {
   std::vector<Listener> out;
-  const std::vector<Micros> messages = message_targets(settings);
+  const std::vector<Micros> message_targets = read_message_targets(settings);
   for (const simdjson::dom::element e : settings.array("listeners")) {
-    const JsonObject l(e, "settings: a listener");
-    out.push_back({l.time("handshakeTarget"), l.time("dialTimeout"), effect_named(l.text("effect", "once")),
-                   reach_named(l.text("group", "cell")), l.time("dedupWindow"), l.real("utility", 1),
-                   out.size() < messages.size() ? messages[out.size()] : Micros{0}});
+    const JsonObject listener(e, "settings: a listener");
+    out.push_back({listener.time("handshakeTarget"), listener.time("dialTimeout"),
+                   parse_effect(listener.text("effect", "once")),
+                   parse_dedup_scope(listener.text("group", "cell")), listener.time("dedupWindow"),
+                   listener.real("utility", 1),
+                   out.size() < message_targets.size() ? message_targets[out.size()] : Micros{0}});
   }
   return out;
 }
@@ -73,18 +80,18 @@
   const JsonObject ceilings(settings, "ceilings"), rules(settings, "rules"), prices(settings, "prices");
   return {read_listeners(settings),
           DialLimits{static_cast<unsigned>(ceilings.real("maxDials", 1)), read_max_retry_after(settings),
-                     further_dials(rules)},
+                     read_retry_budget(rules)},
           Prices{prices.real("crossZone", 0),
                  ceilings.flag("probes") ? std::optional(prices.real("probe", 0)) : std::nullopt}};
 }
 
-std::unique_ptr<Balancer> create_balancer(const JsonObject& settings, BalancerDelegate& outlet,
+std::unique_ptr<Balancer> create_balancer(const JsonObject& settings, BalancerDelegate& delegate,
                                           std::uint64_t seed) {
   const JsonObject rules(settings, "rules");
   check_goal(settings);
   RuntimeSettings running = read_runtime_settings(settings);
   return make_balancer(
-      outlet, seed, static_cast<unsigned>(settings.real("balancers", 1)),
+      delegate, seed, static_cast<unsigned>(settings.real("balancers", 1)),
       ZoneId{static_cast<std::uint32_t>(settings.real("myZone", 0))}, std::move(running.listeners),
       running.dials,
       ColdStartLimits{rules.time("cold"), rules.real("coldShare", 1), rules.real("overloadFactor", 1),
@@ -107,7 +114,7 @@
 std::vector<std::string> read_report_fields(const JsonObject& settings) {
   const JsonObject reporting(settings, "reporting");
   for (const simdjson::dom::element e : reporting.array("fields")) {
-    if (!e.is_string()) throw_invalid_input("settings: a report field is not a text");
+    if (!e.is_string()) throw_invalid_input("settings: a report field is not a string");
   }
   return read_names(reporting, "fields");
 }
@@ -120,9 +127,9 @@
 }
 
 std::uint64_t hash_name(std::string_view name) {
-  std::uint64_t h = 14695981039346656037ull;  // FNV-1a
-  for (const unsigned char c : name) h = (h ^ c) * 1099511628211ull;
-  return h;
+  std::uint64_t hash = 14695981039346656037ull;  // FNV-1a
+  for (const unsigned char c : name) hash = (hash ^ c) * 1099511628211ull;
+  return hash;
 }
 
 std::uint64_t parse_key(std::string_view text) {
--- a/src/setup/deployment.h
+++ b/src/setup/deployment.h
@@ -1,5 +1,5 @@
-// Reads a deployment's settings, in the operators' names, into the module's arguments. One piece of code for
-// the node and for the adapter to the simulator; none of these names goes further.
+// Reads the settings of a deployment (JSON) into the parameters of the balancer, which does not know the key
+// names of the settings. Shared by the node and by the adapter to the simulator.
 #pragma once
 
 #include <memory>
@@ -11,29 +11,29 @@
 
 namespace flintweir::setup {
 
-// The balancer that the settings ask for. Throws InvalidInput.
-std::unique_ptr<Balancer> create_balancer(const JsonObject& settings, BalancerDelegate& outlet,
+// Creates a balancer with these settings. `delegate` has to outlive it. Throws InvalidInput.
+std::unique_ptr<Balancer> create_balancer(const JsonObject& settings, BalancerDelegate& delegate,
                                           std::uint64_t seed);
 
-// Its listeners, in their order. Throws InvalidInput.
+// The configured listeners, in order. Throws InvalidInput.
 std::vector<Listener> read_listeners(const JsonObject& settings);
 
-// The names of a list of objects or texts, in their order.
+// The names in a list of strings or of objects with a "name", in order. Throws InvalidInput.
 std::vector<std::string> read_names(const JsonObject& settings, std::string_view list);
 
-// The fields of load reports, in their order.
+// The names of the fields of load reports, in order. Throws InvalidInput.
 std::vector<std::string> read_report_fields(const JsonObject& settings);
 
-// Puts one field of a load report, by the operators' name, where the module wants it; others are ignored.
+// Sets one field of a load report by its name in the settings; unknown names are ignored.
 void set_report_field(LoadReport& report, std::string_view name, double value);
 
-// A host's or client's id out of its name, the same at every node.
+// The id of a host or client: a hash of its name, the same on every node.
 std::uint64_t hash_name(std::string_view name);
 
-// A key as it is written: a number in hexadecimal; any other text still names one thing.
+// A key: a hexadecimal number as it is, the hash_name() of any other text.
 std::uint64_t parse_key(std::string_view text);
 
-// Zero where clients cannot be told when to come back.
+// The longest delay that a refused client can be asked to wait; zero if clients can't be given one.
 Micros read_max_retry_after(const JsonObject& settings);
 
 }  // namespace flintweir::setup
