--- a/benchlink/wire.h
+++ b/benchlink/wire.h
@@ -1,5 +1,6 @@
-// The simulator's wire: decodes each event straight into a call on its node's balancer or session handle,
-// and writes what the balancer does. No decision is taken here, and no name of the wire goes further.
+// The adapter to the simulator: translates its events into calls on balancers and session handles, and the
+// balancers' actions into messages. Takes no decisions. The names of the simulator's protocol are used in
+// this adapter only.
 #pragma once
 
 #include <memory>
@@ -7,17 +8,18 @@
 
 namespace flintweir::benchlink {
 
-class Wire {
+// Hosts any number of balancer instances, which the events name by number.
+class WireAdapter {
  public:
-  Wire();
-  ~Wire();
-  // One batch in, one reply out (without the line's end). Throws setup::InvalidInput on what the wire does
-  // not allow.
-  std::string_view answer(std::string_view batch);
+  WireAdapter();
+  ~WireAdapter();
+  // Processes one batch (a line of JSON) and returns the reply, without a line terminator; valid until the
+  // next call. Throws setup::InvalidInput if the batch violates the protocol.
+  std::string_view process(std::string_view batch);
 
  private:
-  struct Inner;
-  std::unique_ptr<Inner> inner_;
+  struct Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace flintweir::benchlink
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,3 +1,4 @@
+// The adapter to the simulator, by batches of events.
 #include "wire.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +17,7 @@
 constexpr const char* kHosts =
     R"(["DIRECTORY",0,[["10.0.0.1:80",0,0,0,"IN",1,null]]],["UPDATE",3,1,0,"stale_copy"])";
 
-// The settings with one more entry, before the key named.
+// CONFIGURE with one more entry in its settings, inserted before a key.
 std::string configure_with(const std::string& entry, const std::string& before) {
   std::string out = kConfigure;
   return out.insert(out.find('"' + before + '"'), entry + ",");
@@ -26,24 +27,24 @@
   return "{\"t\":" + std::to_string(t) + ",\"items\":[" + items + "]}";
 }
 
-TEST(Wire, DialsTheOneHostAndAnswersASecondFailure) {
-  Wire wire;
-  wire.answer(batch(1000, std::string(kConfigure) + "," + kHosts));
-  std::string reply(wire.answer(batch(2000, R"(["JOB_IN",3,9,0,0,null,2002000,null,null,0])")));
+TEST(WireAdapter, DialsTheOneHostAndAnswersASecondFailure) {
+  WireAdapter adapter;
+  adapter.process(batch(1000, std::string(kConfigure) + "," + kHosts));
+  std::string reply(adapter.process(batch(2000, R"(["JOB_IN",3,9,0,0,null,2002000,null,null,0])")));
   EXPECT_NE(reply.find(R"(["ROUTE",3,9,"10.0.0.1:80",)"), std::string::npos) << reply;
-  reply = wire.answer(batch(3000, R"(["SETTLED",3,9,0,false,1000,1,"10.0.0.1:80",null],["GONE",3,77])"));
+  reply = adapter.process(batch(3000, R"(["SETTLED",3,9,0,false,1000,1,"10.0.0.1:80",null],["GONE",3,77])"));
   EXPECT_NE(reply.find(R"(["NOT_NOW",3,9,)"), std::string::npos) << reply;
 }
 
-TEST(Wire, ForgetsAnInstanceThatIsDestroyed) {
-  Wire wire;
-  wire.answer(batch(1000, std::string(kConfigure) + "," + kHosts));
-  EXPECT_EQ(wire.answer(batch(2000, R"(["DESTROY",3])")), R"({"output":[]})");
-  EXPECT_THROW(wire.answer(batch(3000, R"(["TICK_DUE",3,"0"])")), setup::InvalidInput);
+TEST(WireAdapter, RejectsEventsForADestroyedInstance) {
+  WireAdapter adapter;
+  adapter.process(batch(1000, std::string(kConfigure) + "," + kHosts));
+  EXPECT_EQ(adapter.process(batch(2000, R"(["DESTROY",3])")), R"({"output":[]})");
+  EXPECT_THROW(adapter.process(batch(3000, R"(["TICK_DUE",3,"0"])")), setup::InvalidInput);
 }
 
-// A wrong or missing value among the new settings is one clear line.
-TEST(Wire, RefusesSettingsThatSayNothing) {
+// Values of the wrong type or sign, and retry budgets or goals that are incomplete.
+TEST(WireAdapter, RejectsInvalidSettings) {
   for (const char* wrong :
        {R"("softRemoval":"yes")", R"("softRemoval":1)", R"("extraFloor":3)",
         R"("extraFloor":3,"budgetSpan":5000000)", R"("extraPerRequest":0.1,"extraFloor":1)",
@@ -51,40 +52,43 @@
         R"("extraFloor":1,"extraPerRequest":-0.1,"budgetSpan":5000000)",
         R"("extraFloor":1,"extraPerRequest":"few","budgetSpan":5000000)",
         R"("extraFloor":1,"extraPerRequest":0.1,"budgetSpan":0)"})
-    EXPECT_THROW(Wire().answer(batch(1000, configure_with(wrong, "cold"))), setup::InvalidInput) << wrong;
+    EXPECT_THROW(WireAdapter().process(batch(1000, configure_with(wrong, "cold"))), setup::InvalidInput)
+        << wrong;
   for (const char* wrong : {R"({"ninesPart":0.2})", R"({"ninesPart":0.2,"ninesWanted":0})",
                             R"({"ninesPart":"much","ninesWanted":3})", R"({"ninesPart":-1,"ninesWanted":3})"})
-    EXPECT_THROW(Wire().answer(batch(1000, configure_with("\"goal\":" + std::string(wrong), "listeners"))),
-                 setup::InvalidInput)
+    EXPECT_THROW(
+        WireAdapter().process(batch(1000, configure_with("\"goal\":" + std::string(wrong), "listeners"))),
+        setup::InvalidInput)
         << wrong;
 }
 
-// Where the settings say that only draining binds, they reach the module.
-TEST(Wire, SendsToAHostCalledGoneOnlyWhereTheSettingsSaySo) {
-  for (const bool soft : {false, true}) {
-    Wire wire;
-    const std::string entry = std::string(R"("softRemoval":)") + (soft ? "true" : "false");
-    wire.answer(batch(1000, configure_with(entry, "cold") + "," + kHosts));
-    wire.answer(batch(1500, R"(["DIRECTORY",0,[]],["UPDATE",3,2,0,"whole"])"));
-    const std::string reply(wire.answer(batch(2000, R"(["JOB_IN",3,9,0,0,null,2002000,null,null,0])")));
-    EXPECT_EQ(reply.find("ROUTE") != std::string::npos, soft) << reply;
+// Guards against a softRemoval setting that does not reach the balancer: with it, a host that is missing from
+// a whole list may still be dialled.
+TEST(WireAdapter, DialsARemovedHostOnlyWithSoftRemoval) {
+  for (const bool soft_removal : {false, true}) {
+    WireAdapter adapter;
+    const std::string entry = std::string(R"("softRemoval":)") + (soft_removal ? "true" : "false");
+    adapter.process(batch(1000, configure_with(entry, "cold") + "," + kHosts));
+    adapter.process(batch(1500, R"(["DIRECTORY",0,[]],["UPDATE",3,2,0,"whole"])"));
+    const std::string reply(adapter.process(batch(2000, R"(["JOB_IN",3,9,0,0,null,2002000,null,null,0])")));
+    EXPECT_EQ(reply.find("ROUTE") != std::string::npos, soft_removal) << reply;
   }
 }
 
-class BadLine : public testing::TestWithParam<const char*> {};
+class MalformedBatch : public testing::TestWithParam<const char*> {};
 
-TEST_P(BadLine, IsNamedPlainly) {
-  Wire wire;
-  wire.answer(batch(1000, std::string(kConfigure) + "," + kHosts));
+TEST_P(MalformedBatch, ThrowsWithAMessage) {
+  WireAdapter adapter;
+  adapter.process(batch(1000, std::string(kConfigure) + "," + kHosts));
   try {
-    wire.answer(GetParam());
-    FAIL() << "taken without complaint";
+    adapter.process(GetParam());
+    FAIL() << "accepted without an error";
   } catch (const setup::InvalidInput& e) {
     EXPECT_GT(std::string(e.what()).size(), 10u);
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(Lines, BadLine,
+INSTANTIATE_TEST_SUITE_P(Lines, MalformedBatch,
                          testing::Values("{", "[]", R"({"t":1})", R"({"t":"x","items":[]})",
                                          R"({"t":1,"items":[7]})", R"({"t":1,"items":[["WHAT",3]]})",
                                          R"({"t":1,"items":[["JOB_IN",3]]})",
