--- a/src/changes/change.h
+++ b/src/changes/change.h
@@ -1,6 +1,6 @@
-// A change of configuration as nodes pass it on: one number that only rises, and a text that each node checks
-// for itself. The text is the whole of what differs from a node's own file, not what differs from the change
-// before, so that any change can follow any other, and going back is one more.
+// A change of configuration as it is replicated: a number, which only increases, and a text, which each node
+// validates for itself. The text holds all differences from a node's own file, not the differences from the
+// previous change. So any change can follow any other one, and a rollback is another change.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,15 @@
 
 namespace flintweir::changes {
 
-// The fencing token of the lease under which it was published: larger than that of every change before it.
-using ChangeNumber = Id<struct ChangeNumberTag, std::uint64_t>;  // zero: none
+// The fencing token of the lease under which the change was published. It is larger than that of every
+// earlier change.
+using ChangeNumber = Id<struct ChangeNumberTag, std::uint64_t>;  // zero: no change
 
-inline constexpr std::size_t kMaxTextBytes = 4096, kPartBytes = 900;  // bytes; a part fits a datagram
+inline constexpr std::size_t kMaxTextBytes = 4096;
+inline constexpr std::size_t kPartBytes = 900;  // of the text; one part fits into one datagram
 inline constexpr std::size_t kMaxReasonBytes = 200;
 
-// An empty text has one part as well.
+// The number of parts that a text of this size is sent in; an empty text has one part as well.
 inline std::uint32_t part_count(std::size_t size) {
   return size == 0 ? 1 : static_cast<std::uint32_t>((size + kPartBytes - 1) / kPartBytes);
 }
@@ -27,27 +29,27 @@
   std::string text;
 };
 
-// Which change, as told: two texts of one number, which no lease grants, are told apart by the checksum, and
-// the larger one is taken everywhere.
+// Identifies a change. No lease grants one number twice; if two texts had the same number nevertheless, the
+// checksum would distinguish them, and all nodes would take the one with the larger id.
 struct ChangeId {
   ChangeNumber number;
   std::uint64_t checksum = 0;  // of the text
-  std::uint32_t size = 0;
+  std::uint32_t size = 0;      // of the text, in bytes
   friend auto operator<=>(const ChangeId&, const ChangeId&) = default;
 };
 ChangeId change_id(const Change& change);
 
-// What a node has: the newest change that it knows, and the one it runs by, which is older where it has
-// refused the newest. Zeros: none, its own file alone.
+// The changes that a node holds: the newest it knows, and the one in force, which is older if the node
+// refused the newest. Zeros: none; only the node's own file is in force.
 struct HeldChanges {
   ChangeId newest, in_force;
   friend bool operator==(const HeldChanges&, const HeldChanges&) = default;
 };
 
-// What a node says of itself.
+// The status that a node reports.
 struct Status {
   HeldChanges held;
-  std::string reason;  // why it has refused the newest; empty: it has not
+  std::string reason;  // why the node refused the newest change; empty if it did not
 };
 
 }  // namespace flintweir::changes
--- a/src/changes/replicator.cpp
+++ b/src/changes/replicator.cpp
@@ -7,19 +7,23 @@
 
 using namespace std::chrono_literals;
 
-// A newer change is told to so many at once and again each round; most learn of it within the first, and the
-// rounds reach whom datagrams were lost to.
-constexpr std::size_t kNear = 3, kFar = 1;
-constexpr int kRounds = 4;
-constexpr Micros kRound = 250ms;
-// At rest one member is told what is newest here, every fourth time one of another zone.
-constexpr Micros kRest = 2s;
-constexpr std::uint64_t kRestFar = 4;
-constexpr Micros kFetchAgain = 150ms;
-constexpr int kMostFetches = 20, kSeedTries = 10;
-constexpr std::size_t kMostSources = 4;
-// A change of the largest size for each of those told at once, and no more than that for long.
-constexpr double kBytesPerSecond = 7000, kBytesKept = 24 << 10;
+// A new change is announced to this many members of the own zone and of other zones in each round. Most nodes
+// learn of it within the first round; further rounds reach those whose datagrams were lost.
+constexpr std::size_t kNearFanout = 3, kFarFanout = 1;
+constexpr int kAnnouncementRounds = 4;
+constexpr Micros kRoundInterval = 250ms;
+// Without a new change one member at a time is told of the changes held here, every kIdleFarPeriod-th time a
+// member of another zone.
+constexpr Micros kIdleInterval = 2s;
+constexpr std::uint64_t kIdleFarPeriod = 4;
+constexpr Micros kFetchRetryInterval = 150ms;
+constexpr int kMaxFetchAttempts = 20, kMaxSeedAttempts = 10;
+constexpr std::size_t kMaxSources = 4;
+// Intervals are multiplied by a random factor from 0.75 to 1.25.
+constexpr double kMinJitter = 0.75, kJitterRange = 0.5;
+// Limit on what is sent, as a token bucket. A burst is enough to send a change of the largest size to each
+// member of one round; over longer times the rate holds.
+constexpr double kBytesPerSecond = 7000, kBurstBytes = 24 << 10;
 
 }  // namespace
 
@@ -29,165 +33,172 @@
       fleet_(std::move(fleet)),
       name_(std::move(name)),
       reply_address_(reply_address),
-      chance_(static_cast<std::knuth_b::result_type>(seed | 1)),
-      bytes_left_(kBytesKept) {}
+      random_(static_cast<std::knuth_b::result_type>(seed | 1)),
+      send_budget_(kBurstBytes) {}
 
 void Replicator::set_time(Micros now) { now_ = std::max(now, now_); }
 
-Micros Replicator::spread(Micros around) {
-  const double by = 0.75 + 0.5 * std::generate_canonical<double, 32>(chance_);
-  return Micros{static_cast<std::int64_t>(static_cast<double>(around.count()) * by)};
+Micros Replicator::add_jitter(Micros interval) {
+  const double factor = kMinJitter + kJitterRange * std::generate_canonical<double, 32>(random_);
+  return Micros{static_cast<std::int64_t>(static_cast<double>(interval.count()) * factor)};
 }
 
-void Replicator::start(std::vector<Change> kept, std::vector<Address> seeds) {
+void Replicator::start(std::vector<Change> stored, std::vector<Address> seeds) {
   refilled_at_ = now_;
   seeds_ = std::move(seeds);
-  for (Change& c : kept) adopt(std::move(c), "kept");
-  rounds_ = 0;
-  timer_expired(TimerId{turn_ << 2 | static_cast<std::uint64_t>(Due::seeds)});
-  set_timer(spread(kRest), Due::rest);
+  for (Change& change : stored) adopt(std::move(change), "kept");
+  rounds_left_ = 0;
+  timer_expired(timer_id(TimerKind::seeds));
+  set_timer(add_jitter(kIdleInterval), TimerKind::idle);
 }
 
 void Replicator::on_datagram(const Address& from, std::string_view bytes) {
-  came_from_ = from;
+  datagram_source_ = from;
   decode(bytes, fleet_, *this);
 }
 
-void Replicator::timer_expired(TimerId w) {
-  const auto due = static_cast<Due>(w.value & 3);
-  if (due == Due::rest) {
-    set_timer(spread(kRest), Due::rest);
-    const bool far = ++rests_ % kRestFar == 0;
-    return tell(far ? 0 : 1, far ? 1 : 0);
+void Replicator::timer_expired(TimerId timer) {
+  const auto kind = static_cast<TimerKind>(timer.value & 3);
+  if (kind == TimerKind::idle) {
+    set_timer(add_jitter(kIdleInterval), TimerKind::idle);
+    const bool far = ++idle_announcements_ % kIdleFarPeriod == 0;
+    return announce(far ? 0 : 1, far ? 1 : 0);
   }
-  if (due == Due::seeds) {
-    // Guards against a process that serves by an old file until a member happens to tell it of the newest.
-    if (seed_tries_ >= kSeedTries) return;
-    ++seed_tries_;
-    for (const Address& s : seeds_)
-      if (s != reply_address_) send(s, encode_have(me(), status_.held));
-    return set_timer(spread(2 * kRound), Due::seeds);
+  if (kind == TimerKind::seeds) {
+    // Without asking, a restarted node would run on an old stored change until a member happens to announce
+    // the newest.
+    if (seed_attempts_ >= kMaxSeedAttempts) return;
+    ++seed_attempts_;
+    for (const Address& seed : seeds_)
+      if (seed != reply_address_) send(seed, encode_have(self(), status_.held));
+    return set_timer(add_jitter(2 * kRoundInterval), TimerKind::seeds);
   }
-  if (w.value >> 2 != turn_) return;  // of a change before this one
-  if (due == Due::fetch) return fetch();
-  if (rounds_-- <= 0) return;
-  tell(kNear, kFar);
-  set_timer(spread(kRound), Due::tell);
+  if (timer.value >> 2 != timer_generation_) return;  // superseded by a newer change
+  if (kind == TimerKind::fetch) return request_missing_parts();
+  if (rounds_left_-- <= 0) return;
+  announce(kNearFanout, kFarFanout);
+  set_timer(add_jitter(kRoundInterval), TimerKind::announce);
 }
 
-void Replicator::tell(std::size_t near, std::size_t far) {
-  drawn_.clear();
-  delegate_.sample_members(near, far, drawn_);
-  const std::string bytes = encode_have(me(), status_.held);
-  for (const Address& to : drawn_) send(to, bytes);
+void Replicator::announce(std::size_t near, std::size_t far) {
+  sample_.clear();
+  delegate_.sample_members(near, far, sample_);
+  const std::string bytes = encode_have(self(), status_.held);
+  for (const Address& to : sample_) send(to, bytes);
 }
 
-// A newer one than the newest; or, where that was refused, a newer one than that in force: somebody who
-// starts after a change that his like refuse has to come to what they run by.
+// Whether a change should be fetched: it is newer than the newest one here, or the newest was refused and it
+// is newer than the one in force. The second case lets a node that starts after a change which it and its
+// peers refuse reach the change that is in force on its peers.
 bool Replicator::wants(const ChangeId& theirs) const {
   if (theirs.number.value == 0) return false;
   if (theirs > status_.held.newest) return true;
-  return !status_.reason.empty() && theirs > status_.held.in_force && theirs > refused_before_ &&
+  return !status_.reason.empty() && theirs > status_.held.in_force && theirs > newest_older_refused_ &&
          theirs < status_.held.newest;
 }
 
 void Replicator::on_have(const Sender& from, const HeldChanges& theirs) {
   if (theirs == status_.held) {
-    if (theirs.newest.number.value > 0) seed_tries_ = kSeedTries;
+    // A member holds the same changes: the seeds need not be asked any further.
+    if (theirs.newest.number.value > 0) seed_attempts_ = kMaxSeedAttempts;
     return;
   }
-  const ChangeId& first = wants(theirs.newest) ? theirs.newest : theirs.in_force;
-  if (wants(first)) {
-    if (!fetching_ || fetching_->which < first) {
-      ++turn_;
-      rounds_ = 0;
-      fetching_ = {
-          first, {from.reply_address}, std::string(first.size, '\0'), (1u << part_count(first.size)) - 1, 0};
-      return fetch();
+  const ChangeId& wanted = wants(theirs.newest) ? theirs.newest : theirs.in_force;
+  if (wants(wanted)) {
+    if (!download_ || download_->id < wanted) {
+      ++timer_generation_;
+      rounds_left_ = 0;
+      download_ = {wanted,
+                   {from.reply_address},
+                   std::string(wanted.size, '\0'),
+                   (1u << part_count(wanted.size)) - 1,
+                   0};
+      return request_missing_parts();
     }
-    if (fetching_->which == first && fetching_->from.size() < kMostSources &&
-        std::find(fetching_->from.begin(), fetching_->from.end(), from.reply_address) ==
-            fetching_->from.end())
-      fetching_->from.push_back(from.reply_address);
+    if (download_->id == wanted && download_->sources.size() < kMaxSources &&
+        std::find(download_->sources.begin(), download_->sources.end(), from.reply_address) ==
+            download_->sources.end())
+      download_->sources.push_back(from.reply_address);
     return;
   }
-  // Guards against somebody who was away, or has just started.
+  // The sender holds older changes: it was cut off, or has just started.
   if (theirs.newest < status_.held.newest ||
       (theirs.in_force < status_.held.in_force && status_.held.in_force < status_.held.newest))
-    send(from.reply_address, encode_have(me(), status_.held));
+    send(from.reply_address, encode_have(self(), status_.held));
 }
 
-// What is missing is asked of one after the other: any may be gone, cut off or out of bytes.
-void Replicator::fetch() {
-  if (!fetching_) return;
-  if (++fetching_->tries > kMostFetches) return fetching_.reset();  // whoever has it says so again
-  send(fetching_->from.front(), encode_want(me(), fetching_->which, fetching_->missing));
-  std::rotate(fetching_->from.begin(), fetching_->from.begin() + 1, fetching_->from.end());
-  set_timer(spread(kFetchAgain), Due::fetch);
+// Asks the sources in turn: any of them may have left, be cut off, or have exhausted its send limit.
+void Replicator::request_missing_parts() {
+  if (!download_) return;
+  if (++download_->attempts > kMaxFetchAttempts)
+    return download_.reset();  // a later announcement starts again
+  send(download_->sources.front(), encode_want(self(), download_->id, download_->missing_parts));
+  std::rotate(download_->sources.begin(), download_->sources.begin() + 1, download_->sources.end());
+  set_timer(add_jitter(kFetchRetryInterval), TimerKind::fetch);
 }
 
-const Change* Replicator::of(const ChangeId& which) const {
-  if (which.number.value == 0) return nullptr;
-  return which == status_.held.newest ? &newest_ : which == status_.held.in_force ? &in_force_ : nullptr;
+const Change* Replicator::find(const ChangeId& id) const {
+  if (id.number.value == 0) return nullptr;
+  return id == status_.held.newest ? &newest_ : id == status_.held.in_force ? &in_force_ : nullptr;
 }
 
-void Replicator::on_want(const Sender& from, const ChangeId& which, std::uint32_t wanted) {
-  const Change* const change = of(which);
+void Replicator::on_want(const Sender& from, const ChangeId& id, std::uint32_t wanted) {
+  const Change* const change = find(id);
   if (!change) return;
-  for (const std::string& one : encode_parts(me(), *change, wanted))
-    if (!send(from.reply_address, one)) return;
+  for (const std::string& datagram : encode_parts(self(), *change, wanted))
+    if (!send(from.reply_address, datagram)) return;
 }
 
-void Replicator::on_part(const Sender& from, const ChangeId& of, std::uint32_t part, std::string_view bytes) {
-  if (!fetching_ || fetching_->which != of || part >= part_count(of.size) ||
-      !(fetching_->missing >> part & 1))
+void Replicator::on_part(const Sender& from, const ChangeId& id, std::uint32_t part, std::string_view bytes) {
+  if (!download_ || download_->id != id || part >= part_count(id.size) ||
+      !(download_->missing_parts >> part & 1))
     return;
   const std::size_t begin = part * kPartBytes;
-  if (bytes.size() != std::min<std::size_t>(kPartBytes, of.size - begin)) return;
-  fetching_->bytes.replace(begin, bytes.size(), bytes);
-  fetching_->missing &= ~(1u << part);
-  if (fetching_->missing) return;
-  Change whole{of.number, std::move(fetching_->bytes)};
-  fetching_.reset();
-  if (change_id(whole) != of) return;  // parts of two texts; it is told of again
-  adopt(std::move(whole), from.name);
+  if (bytes.size() != std::min<std::size_t>(kPartBytes, id.size - begin)) return;
+  download_->text.replace(begin, bytes.size(), bytes);
+  download_->missing_parts &= ~(1u << part);
+  if (download_->missing_parts) return;
+  Change change{id.number, std::move(download_->text)};
+  download_.reset();
+  if (change_id(change) != id) return;  // parts of different texts; a later announcement starts again
+  adopt(std::move(change), from.name);
 }
 
 void Replicator::adopt(Change change, std::string_view from) {
-  const ChangeId now = change_id(change);
+  const ChangeId id = change_id(change);
   std::string reason = delegate_.apply(change).substr(0, kMaxReasonBytes);
-  const bool taken = reason.empty();
-  if (taken) {
+  const bool applied = reason.empty();
+  if (applied) {
     in_force_ = change;
-    status_.held.in_force = now;
+    status_.held.in_force = id;
     delegate_.persist(change, true);
   }
-  if (now > status_.held.newest) {
+  if (id > status_.held.newest) {
     newest_ = std::move(change);
-    status_.held.newest = now;
+    status_.held.newest = id;
     status_.reason = std::move(reason);
-    if (!taken) delegate_.persist(newest_, false);
+    if (!applied) delegate_.persist(newest_, false);
     delegate_.on_status_change(status_, from);
-  } else if (taken) {
+  } else if (applied) {
     delegate_.on_status_change(status_, from);
   } else {
-    refused_before_ = now;
+    newest_older_refused_ = id;
   }
-  // Refused or not it is passed on: another node may run what this one can't.
-  ++turn_;
-  rounds_ = kRounds;
-  timer_expired(TimerId{turn_ << 2 | static_cast<std::uint64_t>(Due::tell)});
+  // Announced also when refused: the change may be valid for another node.
+  ++timer_generation_;
+  rounds_left_ = kAnnouncementRounds;
+  timer_expired(timer_id(TimerKind::announce));
 }
 
 void Replicator::on_query(const Sender&, std::uint64_t nonce) {
-  send(came_from_, changes::encode_status(me(), nonce, status_));
+  send(datagram_source_, encode_status(self(), nonce, status_));
 }
 
 bool Replicator::send(const Address& to, const std::string& bytes) {
-  bytes_left_ = std::min(kBytesKept, bytes_left_ + kBytesPerSecond * seconds(now_ - refilled_at_));
+  send_budget_ = std::min(kBurstBytes, send_budget_ + kBytesPerSecond * seconds(now_ - refilled_at_));
   refilled_at_ = now_;
-  if (bytes_left_ < static_cast<double>(bytes.size())) return false;
-  bytes_left_ -= static_cast<double>(bytes.size());
+  if (send_budget_ < static_cast<double>(bytes.size())) return false;
+  send_budget_ -= static_cast<double>(bytes.size());
   delegate_.send(to, bytes);
   return true;
 }
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -154,13 +154,14 @@
 # Changes of configuration.
 flintweir_flaw(change-goes-back changes back src/changes/replicator.cpp
   "if (theirs > status_.held.newest) return true;" "if (theirs != status_.held.newest) return true;"
-  "if (now > status_.held.newest) {" "if (now != status_.held.newest) {")
+  "if (id > status_.held.newest) {" "if (id != status_.held.newest) {")
 flintweir_flaw(change-in-force-though-refused changes refused src/changes/replicator.cpp
-  "const bool taken = reason.empty();" "const bool taken = true;")
+  "const bool applied = reason.empty();" "const bool applied = true;")
 flintweir_flaw(change-not-told-at-rest changes settled src/changes/replicator.cpp
-  "return tell(far ? 0 : 1, far ? 1 : 0);" "return static_cast<void>(far);"
-  "for (const Address& s : seeds_)" "for (const Address& s : std::vector<Address>())")
+  "return announce(far ? 0 : 1, far ? 1 : 0);" "return static_cast<void>(far);"
+  "for (const Address& seed : seeds_)" "for (const Address& seed : std::vector<Address>())")
 flintweir_flaw(change-before-not-fetched changes settled src/changes/replicator.cpp
   "return !status_.reason.empty() && theirs" "return false && theirs")
 flintweir_flaw(change-told-without-end changes budget src/changes/replicator.cpp
-  "kRounds = 4;" "kRounds = 4000;" "kRound = 250ms;" "kRound = 5ms;" "kBytesPerSecond = 7000" "kBytesPerSecond = 7e9")
+  "kAnnouncementRounds = 4;" "kAnnouncementRounds = 4000;"
+  "kRoundInterval = 250ms;" "kRoundInterval = 5ms;" "kBytesPerSecond = 7000" "kBytesPerSecond = 7e9")
