--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -1,5 +1,5 @@
-// Changes of configuration: their datagrams, their text, what is kept of them, fleets with troubles between
-// their nodes by seed and by processes, and the command.
+// Changes of configuration: datagrams, the text, the stored file, replication in fleets with faults
+// (simulated by seed and with real processes), and the command.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -22,75 +22,78 @@
 using namespace std::chrono_literals;
 using namespace changes;
 
-const Address kAt = *parse_address("127.0.0.1:7946");
-const Sender kMe{"fleet", "n1", kAt};
+const Address kAddress = *parse_address("127.0.0.1:7946");
+const Sender kSelf{"fleet", "n1", kAddress};
 
-struct Heard final : MessageHandler {
-  void on_have(const Sender& from, const HeldChanges& h) override { name = from.name, held = h, ++calls; }
-  void on_want(const Sender&, const ChangeId& of, std::uint32_t p) override {
-    which = of, parts = p, ++calls;
+struct MessageRecorder final : MessageHandler {
+  void on_have(const Sender& from, const HeldChanges& changes) override {
+    name = from.name, held = changes, ++calls;
   }
-  void on_part(const Sender&, const ChangeId& of, std::uint32_t p, std::string_view b) override {
-    which = of, parts = p, bytes = b, ++calls;
+  void on_want(const Sender&, const ChangeId& change, std::uint32_t wanted) override {
+    id = change, parts = wanted, ++calls;
+  }
+  void on_part(const Sender&, const ChangeId& change, std::uint32_t part, std::string_view data) override {
+    id = change, parts = part, bytes = data, ++calls;
   }
   void on_query(const Sender&, std::uint64_t n) override { nonce = n, ++calls; }
   void on_status(const Sender&, std::uint64_t n, const Status& s) override { nonce = n, status = s, ++calls; }
   std::string name, bytes;
   HeldChanges held;
-  ChangeId which;
+  ChangeId id;
   std::uint32_t parts = 0;
   std::uint64_t nonce = 0;
   Status status;
   int calls = 0;
 };
 
-TEST(ChangeDatagrams, AreHeardWholeOrNotAtAll) {
+// Guards against truncated or corrupted datagrams that are decoded in part.
+TEST(ChangeDatagrams, AreDecodedCompletelyOrNotAtAll) {
   const ChangeId a{ChangeNumber{7}, 99, 4096}, b{ChangeNumber{5}, 98, 0};
-  const std::string longest(kPartBytes, 'x'), name(64, 'n');
-  const Sender long_name{name, name, kAt};
-  const std::vector<std::string> all = {encode_have(kMe, {a, b}), encode_want(kMe, a, 31),
-                                        encode_part(long_name, a, 4, longest), encode_query(kMe, 1ull << 60),
-                                        encode_status(kMe, 3, {{a, b}, std::string(200, 'w')})};
-  for (const std::string& one : all) {
-    ASSERT_LE(one.size(), kMaxDatagramBytes);
-    Heard whole;
-    EXPECT_TRUE(decode(one, "", whole));
+  const std::string full_part(kPartBytes, 'x'), name(64, 'n');
+  const Sender long_name{name, name, kAddress};
+  const std::vector<std::string> all = {
+      encode_have(kSelf, {a, b}), encode_want(kSelf, a, 31), encode_part(long_name, a, 4, full_part),
+      encode_query(kSelf, 1ull << 60), encode_status(kSelf, 3, {{a, b}, std::string(200, 'w')})};
+  for (const std::string& datagram : all) {
+    ASSERT_LE(datagram.size(), kMaxDatagramBytes);
+    MessageRecorder whole;
+    EXPECT_TRUE(decode(datagram, "", whole));
     EXPECT_EQ(whole.calls, 1);
-    for (std::size_t cut = 0; cut < one.size(); ++cut) {
-      Heard part;
-      EXPECT_FALSE(decode(std::string_view(one).substr(0, cut), "", part));
+    for (std::size_t cut = 0; cut < datagram.size(); ++cut) {
+      MessageRecorder part;
+      EXPECT_FALSE(decode(std::string_view(datagram).substr(0, cut), "", part));
       EXPECT_EQ(part.calls, 0);
     }
-    for (std::size_t at = 0; at < one.size(); ++at) {  // any byte spoilt
-      std::string spoilt = one;
-      spoilt[at] = static_cast<char>(spoilt[at] ^ 0x20);
-      Heard none;
-      EXPECT_FALSE(decode(spoilt, "", none)) << at;
+    for (std::size_t at = 0; at < datagram.size(); ++at) {  // with a bit of any byte flipped
+      std::string corrupted = datagram;
+      corrupted[at] = static_cast<char>(corrupted[at] ^ 0x20);
+      MessageRecorder none;
+      EXPECT_FALSE(decode(corrupted, "", none)) << at;
       EXPECT_EQ(none.calls, 0);
     }
   }
-  Heard heard;
-  EXPECT_TRUE(decode(all[0], "fleet", heard));
-  EXPECT_EQ(heard.held, (HeldChanges{a, b}));
-  EXPECT_FALSE(decode(all[0], "another", heard));
-  EXPECT_TRUE(decode(all[4], "fleet", heard));
-  EXPECT_EQ(heard.status.reason.size(), 200u);
-  // What cannot be: a change in force that is newer than the newest.
-  EXPECT_FALSE(decode(encode_have(kMe, {b, a}), "fleet", heard));
+  MessageRecorder recorder;
+  EXPECT_TRUE(decode(all[0], "fleet", recorder));
+  EXPECT_EQ(recorder.held, (HeldChanges{a, b}));
+  EXPECT_FALSE(decode(all[0], "another", recorder));
+  EXPECT_TRUE(decode(all[4], "fleet", recorder));
+  EXPECT_EQ(recorder.status.reason.size(), 200u);
+  // An impossible state: a change in force that is newer than the newest one.
+  EXPECT_FALSE(decode(encode_have(kSelf, {b, a}), "fleet", recorder));
 }
 
-// What is allowed while nodes run, and one line for each thing that is not.
-TEST(ConfigChange, SaysAllThatIsWrong) {
-  std::vector<std::string> wrong;
-  const auto good = setup::ConfigChange::parse(
+// The keys that may change while nodes run, and one error line for each invalid key or value.
+TEST(ConfigChange, ReportsEachError) {
+  std::vector<std::string> errors;
+  const auto valid = setup::ConfigChange::parse(
       "discovery = \"127.0.0.1:1\"\n[listener.chat]\nhandshake_target = \"300ms\"\nutility = 2\n[ceilings]\n"
       "most_dials = 3\n[prices]\nprobe = 0.1\ncrossing = 0\n",
-      "f", wrong);
-  EXPECT_TRUE(wrong.empty()) << wrong.front();
-  EXPECT_EQ(good.listeners.at("chat").handshake_target, 300ms);
-  EXPECT_EQ(good.max_dials, 3u);
-  EXPECT_EQ(good.crossing, 0.0);
-  for (const auto& [text, says] : std::vector<std::pair<const char*, const char*>>{
+      "f", errors);
+  EXPECT_TRUE(errors.empty()) << errors.front();
+  EXPECT_EQ(valid.listeners.at("chat").handshake_target, 300ms);
+  EXPECT_EQ(valid.max_dials, 3u);
+  EXPECT_EQ(valid.crossing, 0.0);
+  for (const auto& [text, expected] : std::vector<std::pair<const char*, const char*>>{
            {"discovery = 5\n", "f:1:13: change.discovery"},
            {"discovery = \"host:1\"\n", "numeric address"},
            {"listen = \"127.0.0.1:1\"\n", "can't change while nodes run"},
@@ -107,118 +110,127 @@
            {"[prices]\nprobe = -1\n", "has to be a number"},
            {"a = \n", "f:1:"},
        }) {
-    wrong.clear();
-    setup::ConfigChange::parse(text, "f", wrong);
-    ASSERT_EQ(wrong.size(), 1u) << text;
-    EXPECT_NE(wrong[0].find(says), std::string::npos) << wrong[0];
+    errors.clear();
+    setup::ConfigChange::parse(text, "f", errors);
+    ASSERT_EQ(errors.size(), 1u) << text;
+    EXPECT_NE(errors[0].find(expected), std::string::npos) << errors[0];
   }
-  // What does not fit this node.
+  // Changes that are valid, but not for this node.
   setup::RuntimeSettings own;
   own.listeners = {Listener{500ms, 1s, Effect::repeatable, DedupScope::all, 1s, 1}};
   own.dials.max_dials = 2;
-  for (const auto& [text, says] : std::vector<std::pair<const char*, const char*>>{
+  for (const auto& [text, expected] : std::vector<std::pair<const char*, const char*>>{
            {"[listener.video]\nutility = 1\n", "no such listener"},
            {"[listener.chat]\nhandshake_target = \"1001ms\"\n", "over its dial timeout"},
            {"[prices]\nprobe = 1\n", "may not be probed"}}) {
-    wrong.clear();
-    const auto change = setup::ConfigChange::parse(text, "f", wrong);
-    setup::apply_change(own, {"chat"}, change, wrong);
-    ASSERT_EQ(wrong.size(), 1u) << text;
-    EXPECT_NE(wrong[0].find(says), std::string::npos) << wrong[0];
+    errors.clear();
+    const auto change = setup::ConfigChange::parse(text, "f", errors);
+    setup::apply_change(own, {"chat"}, change, errors);
+    ASSERT_EQ(errors.size(), 1u) << text;
+    EXPECT_NE(errors[0].find(expected), std::string::npos) << errors[0];
   }
-  // A text without keys is the way back to the files.
-  wrong.clear();
-  const auto back = setup::apply_change(own, {"chat"}, setup::ConfigChange::parse("", "f", wrong), wrong);
-  EXPECT_TRUE(wrong.empty());
-  EXPECT_EQ(back.dials.max_dials, 2u);
+  // An empty text restores the settings of the node's file.
+  errors.clear();
+  const auto restored =
+      setup::apply_change(own, {"chat"}, setup::ConfigChange::parse("", "f", errors), errors);
+  EXPECT_TRUE(errors.empty());
+  EXPECT_EQ(restored.dials.max_dials, 2u);
 }
 
-TEST(KeptChange, IsWholeOrNotTaken) {
+// Guards against a truncated or corrupted file that is loaded at the next start.
+TEST(StoredChange, IsLoadedOnlyIfIntact) {
   const Change change{ChangeNumber{12}, "[prices]\ncrossing = 1\n"};
   const std::string text = node::encode_change_file(change);
-  const auto read = node::decode_change_file(text);
-  ASSERT_TRUE(read);
-  EXPECT_EQ(change_id(*read), change_id(change));
+  const auto loaded = node::decode_change_file(text);
+  ASSERT_TRUE(loaded);
+  EXPECT_EQ(change_id(*loaded), change_id(change));
   for (std::size_t cut = 0; cut < text.size(); ++cut)
     EXPECT_FALSE(node::decode_change_file(text.substr(0, cut))) << cut;
-  std::string spoilt = text;
-  spoilt.back() = ' ';
-  EXPECT_FALSE(node::decode_change_file(spoilt));
+  std::string corrupted = text;
+  corrupted.back() = ' ';
+  EXPECT_FALSE(node::decode_change_file(corrupted));
   EXPECT_FALSE(node::decode_change_file("flintweir-change 2 1 1\n"));
 }
 
-// One replicator among others that the test plays.
-struct Lone final : changes::ReplicatorDelegate {
-  explicit Lone() : replicator(*this, "fleet", "n1", kAt, 7) { replicator.set_time(1s); }
+// One replicator, whose peers are played by the test.
+struct ReplicatorFixture final : changes::ReplicatorDelegate {
+  explicit ReplicatorFixture() : replicator(*this, "fleet", "n1", kAddress, 7) { replicator.set_time(1s); }
   void send(const Address&, std::string_view bytes) override { sent.emplace_back(bytes); }
   void set_timer(Micros, TimerId) override {}
-  void sample_members(std::size_t, std::size_t, std::vector<Address>& to) override { to.push_back(kAt); }
-  std::string apply(const Change& c) override {
-    if (c.text.starts_with("bad")) return "does not fit";
-    taken.push_back(c.number.value);
+  void sample_members(std::size_t, std::size_t, std::vector<Address>& to) override { to.push_back(kAddress); }
+  std::string apply(const Change& change) override {
+    if (change.text.starts_with("bad")) return "does not fit";
+    applied.push_back(change.number.value);
     return {};
   }
-  void persist(const Change& c, bool in_force) override { (in_force ? kept : kept_refused) = c.number.value; }
+  void persist(const Change& change, bool in_force) override {
+    (in_force ? stored : stored_refused) = change.number.value;
+  }
   void on_status_change(const Status&, std::string_view) override {}
-  // Another member has it, and gives all that is asked for.
-  void given(std::uint64_t number, const std::string& text) {
+  // Another member announces a change, and sends all parts of it.
+  void receive(std::uint64_t number, const std::string& text) {
     const Change change{ChangeNumber{number}, text};
-    replicator.on_datagram(kAt, encode_have(kOther, {change_id(change), change_id(change)}));
+    replicator.on_datagram(kAddress, encode_have(kPeer, {change_id(change), change_id(change)}));
     for (std::uint32_t i = 0; i < 5; ++i)
       if (i * kPartBytes < std::max<std::size_t>(text.size(), 1))
-        replicator.on_datagram(kAt, encode_part(kOther, change_id(change), i,
-                                                std::string_view(text).substr(i * kPartBytes, kPartBytes)));
+        replicator.on_datagram(kAddress,
+                               encode_part(kPeer, change_id(change), i,
+                                           std::string_view(text).substr(i * kPartBytes, kPartBytes)));
   }
-  const Sender kOther{"fleet", "n2", kAt};
+  const Sender kPeer{"fleet", "n2", kAddress};
   std::vector<std::string> sent;
-  std::vector<std::uint64_t> taken;
-  std::uint64_t kept = 0, kept_refused = 0;
+  std::vector<std::uint64_t> applied;
+  std::uint64_t stored = 0, stored_refused = 0;
   Replicator replicator;
 };
 
-TEST(Replicator, TakesOnlyWhatIsNewerWholeAndFits) {
-  Lone n;
-  n.replicator.start({}, {kAt});
-  n.given(5, std::string(3000, '#'));
-  n.given(4, "older");
-  n.given(5, std::string(3000, '#'));
-  EXPECT_EQ(n.taken, (std::vector<std::uint64_t>{5}));
-  // Refused: known, passed on, and not in force; a later one that fits is.
-  n.given(6, "bad");
-  EXPECT_EQ(n.replicator.status().held.newest.number.value, 6u);
-  EXPECT_EQ(n.replicator.status().held.in_force.number.value, 5u);
-  EXPECT_EQ(n.replicator.status().reason, "does not fit");
-  EXPECT_EQ(n.kept_refused, 6u);
-  n.given(7, "");
-  EXPECT_EQ(n.taken, (std::vector<std::uint64_t>{5, 7}));
-  EXPECT_EQ(n.replicator.status().reason, "");
-  // Parts of another text under the same number never make one.
-  const Change eight{ChangeNumber{8}, std::string(1000, 'a')};
-  n.replicator.on_datagram(kAt, encode_have(n.kOther, {change_id(eight), change_id(eight)}));
-  n.replicator.on_datagram(kAt, encode_part(n.kOther, change_id(eight), 0, std::string(kPartBytes, 'b')));
-  n.replicator.on_datagram(kAt, encode_part(n.kOther, change_id(eight), 1, std::string(100, 'a')));
-  EXPECT_EQ(n.replicator.status().held.newest.number.value, 7u);
+TEST(Replicator, AppliesOnlyNewerCompleteAndValidChanges) {
+  ReplicatorFixture fixture;
+  fixture.replicator.start({}, {kAddress});
+  fixture.receive(5, std::string(3000, '#'));
+  fixture.receive(4, "older");
+  fixture.receive(5, std::string(3000, '#'));
+  EXPECT_EQ(fixture.applied, (std::vector<std::uint64_t>{5}));
+  // A refused change is held and announced, but not in force; a later valid one is.
+  fixture.receive(6, "bad");
+  EXPECT_EQ(fixture.replicator.status().held.newest.number.value, 6u);
+  EXPECT_EQ(fixture.replicator.status().held.in_force.number.value, 5u);
+  EXPECT_EQ(fixture.replicator.status().reason, "does not fit");
+  EXPECT_EQ(fixture.stored_refused, 6u);
+  fixture.receive(7, "");
+  EXPECT_EQ(fixture.applied, (std::vector<std::uint64_t>{5, 7}));
+  EXPECT_EQ(fixture.replicator.status().reason, "");
+  // Parts of different texts with the same number are not put together.
+  const Change change{ChangeNumber{8}, std::string(1000, 'a')};
+  fixture.replicator.on_datagram(kAddress,
+                                 encode_have(fixture.kPeer, {change_id(change), change_id(change)}));
+  fixture.replicator.on_datagram(
+      kAddress, encode_part(fixture.kPeer, change_id(change), 0, std::string(kPartBytes, 'b')));
+  fixture.replicator.on_datagram(kAddress,
+                                 encode_part(fixture.kPeer, change_id(change), 1, std::string(100, 'a')));
+  EXPECT_EQ(fixture.replicator.status().held.newest.number.value, 7u);
 }
 
-// Guards against a node that starts after a change that its like refuse: it ran by its file alone, while they
-// ran by the change before. Found by trying it by hand.
-TEST(Replicator, ComesToWhatOthersRunByWhereItRefusesTheNewest) {
-  Lone n;
-  n.replicator.start({}, {kAt});
-  n.given(9, "bad");
-  const Change before{ChangeNumber{8}, "good"}, newest{ChangeNumber{9}, "bad"};
-  n.replicator.on_datagram(kAt, encode_have(n.kOther, {change_id(newest), change_id(before)}));
-  n.replicator.on_datagram(kAt, encode_part(n.kOther, change_id(before), 0, "good"));
-  EXPECT_EQ(n.taken, (std::vector<std::uint64_t>{8}));
-  EXPECT_EQ(n.replicator.status().held.newest.number.value, 9u);
-  EXPECT_EQ(n.replicator.status().held.in_force.number.value, 8u);
-  // And from its own folder at the next start.
-  Lone again;
-  again.replicator.start({before, newest}, {kAt});
-  EXPECT_EQ(again.replicator.status().held, n.replicator.status().held);
+// Guards against a node that starts after a change which it and its peers refuse: it ran on its own file
+// alone, while its peers ran on the previous change.
+TEST(Replicator, FetchesTheChangeInForceWhenItRefusesTheNewest) {
+  ReplicatorFixture fixture;
+  fixture.replicator.start({}, {kAddress});
+  fixture.receive(9, "bad");
+  const Change previous{ChangeNumber{8}, "good"}, newest{ChangeNumber{9}, "bad"};
+  fixture.replicator.on_datagram(kAddress,
+                                 encode_have(fixture.kPeer, {change_id(newest), change_id(previous)}));
+  fixture.replicator.on_datagram(kAddress, encode_part(fixture.kPeer, change_id(previous), 0, "good"));
+  EXPECT_EQ(fixture.applied, (std::vector<std::uint64_t>{8}));
+  EXPECT_EQ(fixture.replicator.status().held.newest.number.value, 9u);
+  EXPECT_EQ(fixture.replicator.status().held.in_force.number.value, 8u);
+  // The same from the stored changes at the next start.
+  ReplicatorFixture restarted;
+  restarted.replicator.start({previous, newest}, {kAddress});
+  EXPECT_EQ(restarted.replicator.status().held, fixture.replicator.status().held);
 }
 
-TEST(ChangesBySeed, KeepEveryRule) {
+TEST(SimulatedChanges, KeepEveryRule) {
   const lab::ChangePlan plan;
   std::mutex mutex;
   std::atomic<std::uint64_t> next{1};
@@ -237,7 +249,7 @@
   for (std::thread& t : threads) t.join();
 }
 
-// Twelve fixed seeds, each with nine processes of the real program and one kind of trouble between them.
+// Twelve fixed seeds, each with nine processes of the real program and one kind of fault between them.
 TEST(ChangeProcesses, KeepEveryRule) {
   lab::ChangePlan plan;
   plan.joins = 3s;
@@ -264,12 +276,12 @@
   for (std::thread& t : threads) t.join();
 }
 
-int status_of(const std::string& words) {
+int exit_status(const std::string& arguments) {
   return WEXITSTATUS(
-      std::system((std::string(FLINTWEIR_PROGRAM) + ' ' + words + " >/dev/null 2>&1").c_str()));
+      std::system((std::string(FLINTWEIR_PROGRAM) + ' ' + arguments + " >/dev/null 2>&1").c_str()));
 }
 
-TEST(ChangeTool, TellsByItsStatus) {
+TEST(ChangeCommand, ReportsByItsExitStatus) {
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("flintweir-change-tool-" + std::to_string(getpid())))
           .string();
@@ -280,15 +292,15 @@
   std::ofstream(folder + "/good.toml") << "[prices]\ncrossing = 1\n";
   std::ofstream(folder + "/wrong.toml") << "[prices]\ncrossing = \"x\"\n";
   unsetenv("FLINTWEIR_TOKEN");
-  EXPECT_EQ(status_of("change"), 2);
-  EXPECT_EQ(status_of("change show"), 2);
-  EXPECT_EQ(status_of("change show --at nowhere"), 2);
-  EXPECT_EQ(status_of("change show --at " + at), 3);
-  EXPECT_EQ(status_of("change put " + folder + "/good.toml --operator " + folder + "/own.toml"), 2);
+  EXPECT_EQ(exit_status("change"), 2);
+  EXPECT_EQ(exit_status("change show"), 2);
+  EXPECT_EQ(exit_status("change show --at nowhere"), 2);
+  EXPECT_EQ(exit_status("change show --at " + at), 3);
+  EXPECT_EQ(exit_status("change put " + folder + "/good.toml --operator " + folder + "/own.toml"), 2);
   setenv("FLINTWEIR_TOKEN", "7", 1);
-  EXPECT_EQ(status_of("change put " + folder + "/good.toml --operator " + folder + "/none.toml"), 2);
-  EXPECT_EQ(status_of("change put " + folder + "/wrong.toml --operator " + folder + "/own.toml"), 1);
-  EXPECT_EQ(status_of("change put " + folder + "/absent.toml --operator " + folder + "/own.toml"), 1);
+  EXPECT_EQ(exit_status("change put " + folder + "/good.toml --operator " + folder + "/none.toml"), 2);
+  EXPECT_EQ(exit_status("change put " + folder + "/wrong.toml --operator " + folder + "/own.toml"), 1);
+  EXPECT_EQ(exit_status("change put " + folder + "/absent.toml --operator " + folder + "/own.toml"), 1);
   unsetenv("FLINTWEIR_TOKEN");
   std::filesystem::remove_all(folder);
 }
