--- a/src/changes/replicator.h
+++ b/src/changes/replicator.h
@@ -65,7 +65,7 @@
   void announce(std::size_t near, std::size_t far);
   // False, without sending, if the send limit is exhausted.
   bool send(const Address& to, const std::string& bytes);
-  // Timers of the kinds announce and fetch belong to one generation, and are ignored in a later one.
+  // The low two bits hold the kind. Timers of the kinds announce and fetch are ignored in a later generation.
   TimerId timer_id(TimerKind kind) const {
     return TimerId{timer_generation_ << 2 | static_cast<std::uint64_t>(kind)};
   }
