--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -169,7 +169,7 @@
       in_use.emplace_back(memory.allocate(size), size);
       std::memset(in_use.back().first, i, size);
     } else {
-      std::swap(out[random() % in_use.size()], in_use.back());
+      std::swap(in_use[random() % in_use.size()], in_use.back());
       memory.deallocate(in_use.back().first, in_use.back().second);
       in_use.pop_back();
     }
