--- a/src/lab/checks/change_deadlines.cpp
+++ b/src/lab/checks/change_deadlines.cpp
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-// The protocol's figures, as nodes may not choose them.
-constexpr Micros kAfterChange = 6s, kAfterTurn = 4s;
+// Fixed by the protocol; not configurable on a node.
+constexpr Micros kChangeDeadline = 6s, kMoveDeadline = 4s;
 
 }  // namespace
 
@@ -16,22 +16,22 @@
   const std::uint64_t version = list.version(now);
   if (version > version_)
     for (const ListModel::Entry& entry : list.changes_since(version_, now))
-      open_.push_back({entry, now, Micros::max()});
+      pending_.push_back({entry, now, Micros::max()});
   version_ = std::max(version_, version);
   if (!reachable) return;
-  for (Change& change : open_) change.deadline = std::min(change.deadline, now + kAfterChange);
+  for (Change& change : pending_) change.deadline = std::min(change.deadline, now + kChangeDeadline);
 }
 
 void ChangeDeadlines::discovery_moved(Micros now) {
-  for (Change& change : open_) change.deadline = std::min(change.deadline, now + kAfterTurn);
+  for (Change& change : pending_) change.deadline = std::min(change.deadline, now + kMoveDeadline);
 }
 
 std::vector<ChangeDeadlines::Change> ChangeDeadlines::take_due(Micros now) {
-  const auto later = std::stable_partition(open_.begin(), open_.end(),
-                                           [now](const Change& change) { return change.deadline <= now; });
-  std::vector<Change> out(open_.begin(), later);
-  open_.erase(open_.begin(), later);
-  return out;
+  const auto first_pending = std::stable_partition(
+      pending_.begin(), pending_.end(), [now](const Change& change) { return change.deadline <= now; });
+  std::vector<Change> due(pending_.begin(), first_pending);
+  pending_.erase(pending_.begin(), first_pending);
+  return due;
 }
 
 }  // namespace flintweir::lab
--- a/src/lab/checks/change_deadlines.h
+++ b/src/lab/checks/change_deadlines.h
@@ -1,6 +1,6 @@
-// When a change of the list counts as told to nodes that have not heard of it, by the protocol's page: 6 s
-// after discovery had it and could be reached, or 4 s after nodes were told of another service. No I/O and no
-// clock.
+// Deadlines by which every node has to know a change of the host list, as the protocol states them: 6 s after
+// discovery had the change and was reachable, or 4 s after nodes were given another service. Performs no I/O
+// and reads no clock.
 #pragma once
 
 #include <vector>
@@ -13,20 +13,21 @@
  public:
   struct Change {
     ListModel::Entry entry;
-    Micros published_at;  // by discovery, as far as is known
-    Micros deadline;      // to all nodes, heard or not
+    Micros published_at;  // when update() first saw it in the list
+    Micros deadline;      // when all nodes have to know it, whether or not they were sent it
   };
   explicit ChangeDeadlines(std::uint64_t version) : version_(version) {}
 
-  // To be called often: a deadline may be later by the time between two calls, never sooner.
+  // Takes in new changes of the list. To be called often: a deadline may be late by the time between two
+  // calls, and is never early.
   void update(const ListModel& list, bool reachable, Micros now);
-  void discovery_moved(Micros now);  // nodes are told of another service
-  // Those that count as told by now, in their order, each once.
+  void discovery_moved(Micros now);  // nodes are given the address of another service
+  // Removes and returns the changes whose deadline has passed, in the order of the list.
   std::vector<Change> take_due(Micros now);
 
  private:
-  std::uint64_t version_;  // up to which all is taken in
-  std::vector<Change> open_;
+  std::uint64_t version_;  // the latest that update() has taken in
+  std::vector<Change> pending_;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/checks/checker.h
+++ b/src/lab/checks/checker.h
@@ -1,5 +1,5 @@
-// Holds a run against the rules, from what clients, hosts and discovery see; the node is never asked. No I/O
-// and no clock.
+// Checks a run of the lab against the rules, using only what clients, hosts and discovery observe; it never
+// queries a node. Performs no I/O and reads no clock: each call passes the time.
 #pragma once
 
 #include <deque>
@@ -14,141 +14,149 @@
 
 namespace flintweir::lab {
 
-using SessionNo = Id<struct SessionNoTag, std::uint64_t>;  // as its first line gives it
+using SessionNo = Id<struct SessionNoTag, std::uint64_t>;  // as given in the OPEN line
 using HostNo = Id<struct HostNoTag, std::uint32_t>;
-using HostDialNo = Id<struct HostDialNoTag, std::uint64_t>;  // one dial, as its host sees it
+using HostDialNo = Id<struct HostDialNoTag, std::uint64_t>;  // one dial, as received by a host
 
 enum class Rule {
-  answer,  // one final answer in time for each session taken
-  effect,  // no effect twice, never two dials out where not allowed
-  drain,   // nothing new to a draining or gone host after the grace
-  cold,    // a cold host's budget, all nodes together
-  line,    // no line lost, altered, doubled or out of order on an open session
-  held,    // no line held for over a second
-  cut,     // no connection cut without MOVE while its host answers
-  ended,   // what one side has ended is ended at the other within a second, a silent host left within seven
-  rude,    // a bad client gets an error or a close within three seconds
-  gone,    // no dial begins later than a tenth of a second after its client has gone
+  answer,  // each session that a node takes gets exactly one final answer, in time
+  effect,  // no effect happens twice, and no two dials are outstanding where that is not allowed
+  drain,   // no new session goes to a draining or removed host after the grace period
+  cold,    // all nodes together stay within the load budget of a host that is still cold
+  line,    // no line is lost, altered, duplicated or reordered on an open session
+  held,    // no line is delayed by more than one second
+  cut,     // no connection is closed without MOVE while its host responds
+  ended,   // a close by one side reaches the other within one second, a silent host is left within seven
+  rude,    // a client that breaks the protocol gets an error or a close within three seconds
+  gone,    // no dial begins more than 100 ms after its client has left
 };
 const char* name_of(Rule rule);
 
 struct Violation {
   Rule rule;
   Micros at;
-  SessionNo session;  // zero: of no single session
+  SessionNo session;  // zero if no single session is concerned
   std::string what;
 };
 
-// What the checker must know of the network between two machines.
+// The properties of the network between two machines that the checker needs.
 class NetworkPaths {
  public:
-  virtual Micros max_delay(MachineNo a, MachineNo b) const = 0;  // one way
-  // Whether all has got through both ways since then, and time to mend what had been lost before.
+  // The longest one-way delay.
+  virtual Micros max_delay(MachineNo a, MachineNo b) const = 0;
+  // True if no network fault has affected either direction since then, and data lost before that has had time
+  // to be retransmitted.
   virtual bool healthy_since(MachineNo a, MachineNo b, Micros since) const = 0;
 
  protected:
   ~NetworkPaths() = default;
 };
 
+// Collects the events of a run and reports each violation of a rule, once for each session and rule.
 class Checker {
  public:
   enum class Answer { none, up, busy, err };
   enum class CloseKind { bye, move, aborted };
 
-  Checker(const NetworkPaths& paths, const HostPlan& hosts, bool only_draining_binds, unsigned most_dials,
-          std::function<void(const Violation&)> broken)
+  // Calls `on_violation` with each violation. `paths` has to outlive the checker.
+  Checker(const NetworkPaths& paths, const HostPlan& hosts, bool only_draining_binds, unsigned max_dials,
+          std::function<void(const Violation&)> on_violation)
       : paths_(paths),
-        grace_(hosts.grace),
+        drain_grace_(hosts.grace),
         only_draining_binds_(only_draining_binds),
-        most_dials_(most_dials),
-        broken_(std::move(broken)) {}
+        max_dials_(max_dials),
+        on_violation_(std::move(on_violation)) {}
 
-  // Nodes and hosts come and go; what they held goes with them.
+  // Starts and ends of nodes and hosts. The sessions of a node that goes down are exempt from the rules, and
+  // the connections of a host that goes down are closed.
   void node_up(NodeNo node, MachineNo machine) { nodes_[node.value] = {machine, true, {}, {}}; }
   void node_down(NodeNo node);
-  // `started` is zero where it has been up for long.
+  // `boot_time` is zero for a host that was warm when the run began.
   void host_up(HostNo host, MachineNo machine, const std::string& name, ZoneNo zone, CellId cell,
-               Micros started);
+               Micros boot_time);
   void host_down(HostNo host, Micros now);
   void host_silent(HostNo host, bool silent, Micros now);
-  // It has tipped over while it was cold.
+  // A cold host has become overloaded.
   void host_overloaded(HostNo host, Micros now);
-  // An answer of discovery has been written out, from that machine.
-  void host_listed(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros started,
+  // Discovery, on `list_machine`, has written an answer with this entry to the node.
+  void host_listed(NodeNo node, MachineNo list_machine, HostNo host, HostStatus status, Micros boot_time,
                    Micros now);
-  // What discovery has since `had` counts as told to that node from `at` on, whether or not it was.
-  void host_listing_due(NodeNo node, MachineNo teller, HostNo host, HostStatus standing, Micros had,
-                        Micros at);
+  // The node is expected to know, from `deadline` on, a change that discovery published at `published_at`,
+  // whether or not it was sent.
+  void host_listing_due(NodeNo node, MachineNo list_machine, HostNo host, HostStatus status,
+                        Micros published_at, Micros deadline);
 
-  // What a client does and sees.
+  // Events at a client.
   void session_requested(SessionNo id, NodeNo node, MachineNo client, const Listener& listener,
-                         Micros patience, Micros now);
+                         Micros answer_timeout, Micros now);
   void session_answered(SessionNo id, Answer answer, std::string_view receipt, Micros now);
   void client_sent_line(SessionNo id, std::uint64_t line, Micros now);
   void client_received_line(SessionNo id, std::uint64_t line, bool is_move, Micros now);
-  void client_closed(SessionNo id, bool cleanly, Micros now);  // by its own will
+  void client_closed(SessionNo id, bool cleanly, Micros now);  // on its own initiative
   void client_saw_close(SessionNo id, Micros now);
   void check_bad_client_wait(Micros waited, Micros allowance, const char* kind, Micros now);
 
-  // What a host sees and does.
+  // Events at a host.
   HostDialNo begin_dial(HostNo host, SessionNo id, Micros now);
-  // The host is cold, and this dial counts for so much against what would tip it over within a window.
+  // A dial reached a cold host; its load counts towards the host's budget for `window`.
   void record_cold_load(HostNo host, SessionNo id, double load, Micros window, Micros now);
-  void host_answered(HostDialNo call, Answer answer, std::string_view receipt, Micros now);
-  void host_sent_line(HostDialNo call, std::uint64_t line, Micros now);
-  void host_received_line(HostDialNo call, std::uint64_t line, Micros now);
-  void host_closed(HostDialNo call, CloseKind how, Micros now);
-  void host_saw_close(HostDialNo call, bool cleanly, Micros now);
-
-  void check_overdue(Micros now);  // what is overdue
+  void host_answered(HostDialNo dial_id, Answer answer, std::string_view receipt, Micros now);
+  void host_sent_line(HostDialNo dial_id, std::uint64_t line, Micros now);
+  void host_received_line(HostDialNo dial_id, std::uint64_t line, Micros now);
+  void host_closed(HostDialNo dial_id, CloseKind kind, Micros now);
+  void host_saw_close(HostDialNo dial_id, bool cleanly, Micros now);
+
+  // Reports what is overdue and forgets finished sessions. To be called often.
+  void check_overdue(Micros now);
   std::uint64_t checks() const { return checks_; }
 
  private:
   struct Line {
     std::uint64_t hash;
-    Micros at;
+    Micros sent_at;
   };
   struct Dial {
     HostNo host;
-    HostDialNo call;
-    Micros came{0};
+    HostDialNo id;
+    Micros received_at{0};
     Answer answer = Answer::none;
     std::string receipt;
-    bool over = false;        // as the host sees it
-    bool host_ended = false;  // first, or its process died
-    Micros host_ended_at{0};
-    CloseKind ends = CloseKind::aborted;
-    Micros overtaken_at{0};  // by a later dial, while this was out
-    std::deque<Line> down;   // its lines that the client has still to hear
+    bool closed = false;       // as seen by the host
+    bool host_closed = false;  // the host closed first, or its process died
+    Micros host_closed_at{0};
+    CloseKind close_kind = CloseKind::aborted;
+    Micros superseded_at{0};     // a later dial began while this one was unanswered
+    std::deque<Line> to_client;  // lines of the host that the client has not received yet
   };
   struct Session {
     NodeNo node;
     MachineNo client;
     Listener listener;
-    Micros asked_at{0}, patience{0};
+    Micros asked_at{0}, answer_timeout{0};
     Answer answer = Answer::none;
-    Micros answered_at{0}, client_over_at{0}, waiting_since{0}, moved_at{0};
-    bool client_over = false, clean_end = false, moved = false, excused = false;
+    Micros answered_at{0}, client_done_at{0}, awaiting_reply_since{0}, moved_at{0};
+    bool client_done = false, clean_close = false, moved = false;
+    bool exempt = false;  // its node was down when it began, or went down
     std::vector<Dial> dials;
-    std::deque<Line> up;
-    std::size_t missing = 0;  // of its lines, when its host saw the end
-    Micros missing_at{0};
-    HostDialNo open;  // the dial that the client was told of
+    std::deque<Line> to_host;       // lines of the client that its host has not received yet
+    std::size_t missing_lines = 0;  // length of `to_host` when the host saw the close
+    Micros lines_missing_at{0};
+    HostDialNo accepted;  // the dial whose acceptance the client received
     std::set<Rule> reported;
   };
   struct Node {
     MachineNo machine;
     bool up = false;
-    struct Away {
-      Micros at;
-      MachineNo teller;
-      Micros since;  // the way from there has to be good from then on for the node to know
+    struct UnavailableHost {
+      Micros informed_at;      // from then on, the node has to know
+      MachineNo list_machine;  // discovery's
+      Micros path_since;  // the rule holds only if the path from `list_machine` has been healthy since then
     };
-    std::map<std::uint32_t, Away> told_away;  // by host
-    struct Start {
-      Micros told_at, started;
+    std::map<std::uint32_t, UnavailableHost> unavailable_hosts;  // by host
+    struct BootReport {
+      Micros reported_at, boot_time;
     };
-    std::map<std::uint32_t, Start> told_start;
+    std::map<std::uint32_t, BootReport> boot_reports;  // by host
   };
   struct Host {
     MachineNo machine;
@@ -156,14 +164,14 @@
     ZoneNo zone;
     CellId cell;
     bool up = false, silent = false;
-    Micros silent_until{0};  // the latest end of a silence
-    Micros started{0};
-    struct Sent {
-      Micros at;
+    Micros silent_until{0};  // end of the latest silence
+    Micros boot_time{0};
+    struct ColdDial {
+      Micros sent_at;
       double load;
-      bool told;  // the node that sent it had been told of the host's start
+      bool informed;  // the node that dialled had been sent the host's boot time
     };
-    std::deque<Sent> cold_sent{};
+    std::deque<ColdDial> cold_dials{};
   };
 
   Session* find(SessionNo id) {
@@ -171,25 +179,26 @@
     const auto it = sessions_.find(id.value);
     return it == sessions_.end() ? nullptr : &it->second;
   }
-  Dial* find(HostDialNo call, Session*& session);
-  void breaks(Rule rule, SessionNo id, Session& s, Micros now, const std::string& what);
-  static bool may_have_run(const Dial& d) { return d.answer != Answer::busy; }
-  static Dial* open_dial(Session& s);
-  Micros slack(const Session& s, const Dial* d) const;
-  bool healthy_since(const Session& s, const Dial* d, Micros since) const;
-  bool spoke_since(HostNo host, Micros since) const;         // the host was not silent at any time since
-  bool check_overdue(SessionNo id, Session& s, Micros now);  // true: it may be forgotten
+  Dial* find(HostDialNo dial_id, Session*& session);
+  void report(Rule rule, SessionNo id, Session& session, Micros now, const std::string& what);
+  static bool may_have_run(const Dial& dial) { return dial.answer != Answer::busy; }
+  static Dial* accepted_dial(Session& session);
+  Micros network_allowance(const Session& session, const Dial* dial) const;
+  bool healthy_since(const Session& session, const Dial* dial, Micros since) const;
+  bool responsive_since(HostNo host, Micros since) const;  // up, and not silent at any time since then
+  // True if the session may be forgotten.
+  bool check_overdue(SessionNo id, Session& session, Micros now);
 
   const NetworkPaths& paths_;
-  Micros grace_;
-  bool only_draining_binds_;  // a listing as gone binds nobody
-  unsigned most_dials_;
-  std::function<void(const Violation&)> broken_;
+  Micros drain_grace_;
+  bool only_draining_binds_;  // hosts listed as removed may still be dialled
+  unsigned max_dials_;
+  std::function<void(const Violation&)> on_violation_;
   std::map<std::uint32_t, Node> nodes_;
   std::map<std::uint32_t, Host> hosts_;
   std::map<std::uint64_t, Session> sessions_;
-  std::map<std::uint64_t, SessionNo> calls_;
-  std::uint64_t next_call_ = 0, checks_ = 0;
+  std::map<std::uint64_t, SessionNo> dial_sessions_;  // by HostDialNo
+  std::uint64_t next_dial_ = 0, checks_ = 0;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/checks/interleaving.h
+++ b/src/lab/checks/interleaving.h
@@ -1,6 +1,6 @@
-// One exchange of one node, cut after a byte, with one event there: the client's end, a reset, SIGTERM, a
-// list. The node's own code on the lab's network; what happened is judged from outside by what its neighbours
-// saw.
+// Interleavings of one exchange with one event: a text to the node is cut after a byte, and there a client
+// closes, a connection is reset, the node gets SIGTERM or the host list changes. Runs the node's own code on
+// the lab's virtual network; the checks use only what its clients, hosts and list services observed.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 namespace flintweir::lab {
 
 struct Interleaving {
-  enum class Text { client, host, list };  // whose text is cut
+  enum class Stream { client, host, list };  // the sender of the text that is cut
   enum class Event {
     client_ends,
     client_resets,
@@ -24,28 +24,31 @@
     drain,
     late,
     silence,
-    // Of the list alone; a host drains as each begins, which counts as told 6 s after it could be heard of.
-    turned_away,  // each call is answered 503 or reset, by turns, for a while
-    queued,       // each call waits longer than it may
-    away,         // calls are refused; a host drains as the service comes back after 8 s
-    silent_turn   // the service that a new configuration names says nothing for a while
+    // Faults of the list service. A host starts to drain when the fault begins, unless stated otherwise; the
+    // node has to know 6 s after it could have learnt of it, 4 s after a new configuration.
+    turned_away,  // for a while, calls are alternately answered 503 and reset
+    queued,       // each call waits for its answer longer than its timeout
+    away,         // connections are refused for 8 s; a host starts to drain when the service is back
+    silent_turn   // the service that a new configuration names does not answer for a while
   };
   static constexpr std::size_t kEvents = 13;
 
-  Text text = Text::client;
-  std::size_t byte = 0;  // of the text that come before the event
+  Stream stream = Stream::client;
+  std::size_t byte = 0;  // how many bytes of the text are sent before the event
   Event event = Event::silence;
-  bool busy = false;   // event and rest come while the node has no processor time
-  bool eager = false;  // the client says its next line with its first
-  bool once = false;   // the session may have its effect once only
+  bool busy = false;   // the event and the rest arrive while the node gets no processor time
+  bool eager = false;  // the client sends its next line together with its request
+  bool once = false;   // the session is once-only instead of repeatable
   std::uint64_t seed = 1;
 };
 
 std::string to_text(const Interleaving& interleaving);
-// What was broken, each as its rule's name and what was seen; empty where every rule held.
+// Plays an interleaving. Returns the violations, each as the name of its rule and what was observed; empty if
+// every rule held.
 std::vector<std::string> run_interleaving(const Interleaving& interleaving);
-// Every interleaving there is: each byte of each text with each event, in both kinds of session, in time and
-// late.
+// Every combination that is checked: each byte of each text (every 7th of the list's, every 28th for faults
+// of the list service) with each event that applies to it, with a free and with a busy node, and for clients
+// and hosts also eager clients and once-only sessions.
 std::vector<Interleaving> all_interleavings();
 
 }  // namespace flintweir::lab
