--- a/src/lab/models/baselines.cpp
+++ b/src/lab/models/baselines.cpp
@@ -12,206 +12,219 @@
 
 using namespace std::chrono_literals;
 
-enum class Way { random, in_turn, fewest };
+enum class Policy { random, round_robin, least_connections };
 
-struct PlainHost {
+struct BaselineHost {
   HostId id;
   ZoneId zone;
   CellId cell;
-  HostStatus standing = HostStatus::active;
+  HostStatus status = HostStatus::active;
   bool listed = false;
-  unsigned own = 0;
+  unsigned connections = 0;
 };
 
-struct PlainSession {
+struct BaselineSession {
   SessId id;
   ListenerId listener;
-  Micros valid_until{0};
+  Micros deadline{0};
   HostId host;
   unsigned dials = 0;
   std::array<HostId, 6> tried{};
-  bool out = false, open = false, over = false, ran = false, moved = false;
-  Micros ran_at{0};
+  bool dial_active = false, open = false, client_gone = false, may_have_run = false, moved = false;
+  Micros ran_at{0};  // end of the first dial that may have run
   HostId ran_host;
 };
 
-class Plain final : public Balancer {
+class BaselineBalancer final : public Balancer {
  public:
-  Plain(Way way, BalancerDelegate& out, std::uint64_t seed, std::vector<Listener> listeners,
-        unsigned most_dials, Micros ask_every)
-      : way_(way),
-        out_(out),
-        chance_(static_cast<std::knuth_b::result_type>(seed | 1)),
+  BaselineBalancer(Policy policy, BalancerDelegate& delegate, std::uint64_t seed,
+                   std::vector<Listener> listeners, unsigned max_dials, Micros poll_interval)
+      : policy_(policy),
+        delegate_(delegate),
+        random_(static_cast<std::knuth_b::result_type>(seed | 1)),
         listeners_(std::move(listeners)),
-        most_dials_(most_dials),
-        ask_every_(ask_every) {}
+        max_dials_(max_dials),
+        poll_interval_(poll_interval) {}
 
   void update_settings(std::vector<Listener>, unsigned, Prices) override {}
   void set_node_count(unsigned) override {}
   void set_time(Micros now) override {
     now_ = now;
-    if (std::exchange(begun_, true)) return;
-    out_.set_timer(0us, TimerId{1});
+    if (std::exchange(started_, true)) return;
+    delegate_.set_timer(0us, TimerId{1});
   }
-  SessionHandle start_session(SessId id, const SessionRequest& taken) override {
-    PlainSession s;
-    s.id = id;
-    s.listener = taken.listener;
-    s.valid_until = taken.deadline;
-    const SlabKey key = sessions_.add(s);
-    place(key, *sessions_.find(key));
+  SessionHandle start_session(SessId id, const SessionRequest& request) override {
+    BaselineSession session;
+    session.id = id;
+    session.listener = request.listener;
+    session.deadline = request.deadline;
+    const SlabKey key = sessions_.add(session);
+    dial_next_host(key, *sessions_.find(key));
     return {this, key};
   }
-  SessionHandle adopt_session(SessId id, const SessionRequest& taken, HostId host) override {
-    PlainSession s;
-    s.id = id;
-    s.listener = taken.listener;
-    s.host = host;
-    s.dials = 1;
-    s.out = s.open = s.ran = true;
-    if (PlainHost* h = find(host)) ++h->own;
-    return {this, sessions_.add(s)};
+  SessionHandle adopt_session(SessId id, const SessionRequest& request, HostId host) override {
+    BaselineSession session;
+    session.id = id;
+    session.listener = request.listener;
+    session.host = host;
+    session.dials = 1;
+    session.dial_active = session.open = session.may_have_run = true;
+    if (BaselineHost* known = find(host)) ++known->connections;
+    return {this, sessions_.add(session)};
   }
-  void timer_expired(TimerId wake) override {
-    if (wake.value == 1) return out_.watch_list();
-    // Clients leave a draining host all at once.
-    sessions_.for_each([&](SlabKey, PlainSession& s) {
-      const PlainHost* h = find(s.host);
-      if (s.open && !s.moved && h && h->standing == HostStatus::draining) {
-        s.moved = true;
-        out_.move(s.id);
+  void timer_expired(TimerId timer) override {
+    if (timer.value == 1) return delegate_.watch_list();
+    // All clients of a draining host are moved at once.
+    sessions_.for_each([&](SlabKey, BaselineSession& session) {
+      const BaselineHost* host = find(session.host);
+      if (session.open && !session.moved && host && host->status == HostStatus::draining) {
+        session.moved = true;
+        delegate_.move(session.id);
       }
     });
   }
   void probe_ended(HostId, DialOutcome, Micros, const LoadReport&) override {}
-  void begin_list(bool whole) override {
-    whole_ = whole;
-    if (whole)
-      for (PlainHost& h : hosts_) h.listed = false;
+  void begin_list(bool whole_list) override {
+    whole_list_ = whole_list;
+    if (whole_list)
+      for (BaselineHost& host : hosts_) host.listed = false;
   }
-  void list_host(HostId id, ZoneId zone, CellId cell, HostStatus standing, double, Micros) override {
-    PlainHost* h = find(id);
-    if (!h) h = &hosts_.emplace_back();
-    h->id = id;
-    h->zone = zone;
-    h->cell = cell;
-    h->standing = standing;
-    h->listed = true;
-    if (standing == HostStatus::draining) out_.set_timer(0us, TimerId{2});
+  void list_host(HostId id, ZoneId zone, CellId cell, HostStatus status, double, Micros) override {
+    BaselineHost* host = find(id);
+    if (!host) host = &hosts_.emplace_back();
+    host->id = id;
+    host->zone = zone;
+    host->cell = cell;
+    host->status = status;
+    host->listed = true;
+    if (status == HostStatus::draining) delegate_.set_timer(0us, TimerId{2});
   }
   void end_list() override {
-    if (whole_)
-      for (PlainHost& h : hosts_)
-        if (!h.listed) h.standing = HostStatus::removed;
+    if (whole_list_)
+      for (BaselineHost& host : hosts_)
+        if (!host.listed) host.status = HostStatus::removed;
   }
   void list_stale() override {}
   void list_usable() override {}
   bool may_dial(HostId) override { return true; }
-  void list_failed() override { out_.set_timer(std::min<Micros>(1s, ask_every_ / 4), TimerId{1}); }
+  void list_failed() override { delegate_.set_timer(std::min<Micros>(1s, poll_interval_ / 4), TimerId{1}); }
 
  private:
   bool live(SlabKey key) const override { return sessions_.has(key); }
   void dial_accepted(SlabKey key, DialNo dial) override {
-    if (PlainSession* s = current(key, dial)) s->open = s->ran = true;
+    if (BaselineSession* session = current(key, dial)) session->open = session->may_have_run = true;
   }
-  void dial_ended(SlabKey key, DialNo dial, DialOutcome how, bool over) override {
-    PlainSession* const s = current(key, dial);
-    if (!s) return;
-    s->out = false;
-    PlainHost* const h = find(s->host);
-    if (h && h->own > 0) --h->own;
-    if (s->open) return sessions_.release(key);
-    const bool proven =
-        how == DialOutcome::rejected || how == DialOutcome::connect_failed || how == DialOutcome::not_sent;
-    if (!proven && !std::exchange(s->ran, true)) {
-      s->ran_at = now_;
-      s->ran_host = s->host;
+  void dial_ended(SlabKey key, DialNo dial, DialOutcome outcome, bool client_gone) override {
+    BaselineSession* const session = current(key, dial);
+    if (!session) return;
+    session->dial_active = false;
+    BaselineHost* const host = find(session->host);
+    if (host && host->connections > 0) --host->connections;
+    if (session->open) return sessions_.release(key);
+    const bool not_run = outcome == DialOutcome::rejected || outcome == DialOutcome::connect_failed ||
+                         outcome == DialOutcome::not_sent;
+    if (!not_run && !std::exchange(session->may_have_run, true)) {
+      session->ran_at = now_;
+      session->ran_host = session->host;
     }
-    if (over || s->over) return sessions_.release(key);
-    place(key, *s);
+    if (client_gone || session->client_gone) return sessions_.release(key);
+    dial_next_host(key, *session);
   }
   void client_left(SlabKey key) override {
-    PlainSession* const s = sessions_.find(key);
-    if (!s || s->open) return;
-    s->over = true;
-    if (!s->out) sessions_.release(key);
+    BaselineSession* const session = sessions_.find(key);
+    if (!session || session->open) return;
+    session->client_gone = true;
+    if (!session->dial_active) sessions_.release(key);
   }
   void set_load(SlabKey, double) override {}
   void set_message_delay(SlabKey, Micros) override {}
 
-  PlainHost* find(HostId id) {
+  BaselineHost* find(HostId id) {
     const auto it =
-        std::find_if(hosts_.begin(), hosts_.end(), [&](const PlainHost& h) { return h.id == id; });
+        std::find_if(hosts_.begin(), hosts_.end(), [&](const BaselineHost& host) { return host.id == id; });
     return it == hosts_.end() ? nullptr : &*it;
   }
-  PlainSession* current(SlabKey key, DialNo dial) {
-    PlainSession* const s = sessions_.find(key);
-    return s && s->out && dial.value + 1 == s->dials ? s : nullptr;
+  BaselineSession* current(SlabKey key, DialNo dial) {
+    BaselineSession* const session = sessions_.find(key);
+    return session && session->dial_active && dial.value + 1 == session->dials ? session : nullptr;
   }
-  bool may(const PlainSession& s, const PlainHost& h) {
-    if (h.standing != HostStatus::active) return false;
-    const Listener& l = listeners_[s.listener.value];
-    if (!s.ran || l.effect != Effect::referenced || l.dedup_scope == DedupScope::all) return true;
-    const PlainHost* const ran = find(s.ran_host);
-    return ran && (l.dedup_scope == DedupScope::zone ? ran->zone == h.zone : ran->cell == h.cell);
+  // Whether the host may get a session that may already have run elsewhere.
+  bool may_dial_again(const BaselineSession& session, const BaselineHost& host) {
+    if (host.status != HostStatus::active) return false;
+    const Listener& listener = listeners_[session.listener.value];
+    if (!session.may_have_run || listener.effect != Effect::referenced ||
+        listener.dedup_scope == DedupScope::all)
+      return true;
+    const BaselineHost* const ran = find(session.ran_host);
+    return ran &&
+           (listener.dedup_scope == DedupScope::zone ? ran->zone == host.zone : ran->cell == host.cell);
   }
-  void place(SlabKey key, PlainSession& s) {
-    const Listener& l = listeners_[s.listener.value];
-    // From the dial on, hosts remember it for so long; the dial's own limit is the safest guess at its start.
-    const bool again =
-        !s.ran || l.effect == Effect::repeatable ||
-        (l.effect == Effect::referenced && now_ + l.handshake_target < s.ran_at + l.dedup_window);
-    PlainHost* best = nullptr;
-    if (again && s.dials < most_dials_ && now_ < s.valid_until) {
-      std::vector<PlainHost*> fit;
-      const auto tried = s.tried.begin() + std::min<std::size_t>(s.dials, s.tried.size());
-      for (PlainHost& h : hosts_)
-        if (may(s, h) && std::find(s.tried.begin(), tried, h.id) == tried) fit.push_back(&h);
-      if (!fit.empty()) {
-        best = fit[way_ == Way::random ? chance_() % fit.size() : turn_++ % fit.size()];
-        if (way_ == Way::fewest)
-          best = *std::min_element(fit.begin(), fit.end(), [](auto* a, auto* b) { return a->own < b->own; });
+  // Dials a host that was not tried before, or ends the session if none may be dialled.
+  void dial_next_host(SlabKey key, BaselineSession& session) {
+    const Listener& listener = listeners_[session.listener.value];
+    // Hosts remember a dial for `dedup_window` from its start. `ran_at` is when it ended, so the handshake
+    // target is subtracted as an upper bound of its duration.
+    const bool may_dial_now = !session.may_have_run || listener.effect == Effect::repeatable ||
+                              (listener.effect == Effect::referenced &&
+                               now_ + listener.handshake_target < session.ran_at + listener.dedup_window);
+    BaselineHost* best = nullptr;
+    if (may_dial_now && session.dials < max_dials_ && now_ < session.deadline) {
+      std::vector<BaselineHost*> candidates;
+      const auto tried = session.tried.begin() + std::min<std::size_t>(session.dials, session.tried.size());
+      for (BaselineHost& host : hosts_)
+        if (may_dial_again(session, host) && std::find(session.tried.begin(), tried, host.id) == tried)
+          candidates.push_back(&host);
+      if (!candidates.empty()) {
+        best = candidates[policy_ == Policy::random ? random_() % candidates.size()
+                                                    : next_++ % candidates.size()];
+        if (policy_ == Policy::least_connections)
+          best = *std::min_element(candidates.begin(), candidates.end(), [](auto* left, auto* right) {
+            return left->connections < right->connections;
+          });
       }
     }
     if (!best) {
-      const bool harmless = !s.ran || l.effect == Effect::repeatable ||
-                            (l.effect == Effect::referenced && l.dedup_scope == DedupScope::all);
-      const SessId id = s.id;
+      const bool harmless =
+          !session.may_have_run || listener.effect == Effect::repeatable ||
+          (listener.effect == Effect::referenced && listener.dedup_scope == DedupScope::all);
+      const SessId id = session.id;
       sessions_.release(key);
-      return harmless ? out_.refuse(id, 0us, RefusalReason::no_host)
-                      : out_.tear_down(id, RefusalReason::no_host);
+      return harmless ? delegate_.refuse(id, 0us, RefusalReason::no_host)
+                      : delegate_.tear_down(id, RefusalReason::no_host);
     }
-    s.host = best->id;
-    if (s.dials < s.tried.size()) s.tried[s.dials] = best->id;
-    ++best->own;
-    ++s.dials;
-    s.out = true;
-    out_.dial(s.id, best->id, std::min(s.valid_until - now_, l.handshake_target / 2));
+    session.host = best->id;
+    if (session.dials < session.tried.size()) session.tried[session.dials] = best->id;
+    ++best->connections;
+    ++session.dials;
+    session.dial_active = true;
+    delegate_.dial(session.id, best->id, std::min(session.deadline - now_, listener.handshake_target / 2));
   }
 
-  Way way_;
-  BalancerDelegate& out_;
-  std::knuth_b chance_;
+  Policy policy_;
+  BalancerDelegate& delegate_;
+  std::knuth_b random_;
   std::vector<Listener> listeners_;
-  unsigned most_dials_;
-  Micros ask_every_, now_{0};
-  bool begun_ = false, whole_ = false;
-  std::size_t turn_ = 0;
-  std::vector<PlainHost> hosts_;
-  Slab<PlainSession> sessions_;
+  unsigned max_dials_;
+  Micros poll_interval_, now_{0};
+  bool started_ = false, whole_list_ = false;
+  std::size_t next_ = 0;
+  std::vector<BaselineHost> hosts_;
+  Slab<BaselineSession> sessions_;
 };
 
 }  // namespace
 
 node::BalancerFactory balancer_factory(const std::string& name) {
   if (name == "module") return setup::create_balancer;
-  const Way way = name == "random" ? Way::random : name == "round-robin" ? Way::in_turn : Way::fewest;
-  return [way](const setup::JsonObject& settings, BalancerDelegate& out,
-               std::uint64_t seed) -> std::unique_ptr<Balancer> {
+  const Policy policy = name == "random"        ? Policy::random
+                        : name == "round-robin" ? Policy::round_robin
+                                                : Policy::least_connections;
+  return [policy](const setup::JsonObject& settings, BalancerDelegate& delegate,
+                  std::uint64_t seed) -> std::unique_ptr<Balancer> {
     const setup::JsonObject ceilings(settings, "ceilings"), rules(settings, "rules");
-    return std::make_unique<Plain>(way, out, seed, setup::read_listeners(settings),
-                                   static_cast<unsigned>(ceilings.real("maxDials", 1)),
-                                   rules.time("askEvery"));
+    return std::make_unique<BaselineBalancer>(policy, delegate, seed, setup::read_listeners(settings),
+                                              static_cast<unsigned>(ceilings.real("maxDials", 1)),
+                                              rules.time("askEvery"));
   };
 }
 
--- a/src/lab/models/baselines.h
+++ b/src/lab/models/baselines.h
@@ -1,5 +1,5 @@
-// Plain balancers to compare the module with, in the lab only: at random, in turn, and to the host with the
-// fewest connections of this node's. They keep to the list and to what may be dialled again, and ask nothing.
+// Simple balancers to compare the module with, for the lab only: random, round-robin, and least connections
+// of this node. They respect the host list and the rules for repeated dials, and never probe hosts.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,7 @@
 
 namespace flintweir::lab {
 
-// Of "module", "random", "round-robin" or "least-connections".
+// `name` is "module", "random", "round-robin" or "least-connections".
 node::BalancerFactory balancer_factory(const std::string& name);
 
 }  // namespace flintweir::lab
