--- a/src/lab/models/client_model.cpp
+++ b/src/lab/models/client_model.cpp
@@ -9,20 +9,20 @@
 
 using namespace std::chrono_literals;
 
-Micros ClientModel::begin() {
-  state_ = State::resting;
+Micros ClientModel::start() {
+  state_ = State::idle;
   return scaled(plan_.pause, uniform());
 }
 
-Micros ClientModel::ended() {
-  state_ = State::resting;
+Micros ClientModel::on_session_end() {
+  state_ = State::idle;
   return scaled(plan_.pause, std::min(exponential(), 5.0));
 }
 
-void ClientModel::want(Micros now) {
-  double all = 0, sum = 0;
-  for (const ListenerPlan& l : plan_.listeners) all += l.share;
-  const double drawn = uniform() * all;
+void ClientModel::start_session(Micros now) {
+  double total = 0, sum = 0;
+  for (const ListenerPlan& listener_plan : plan_.listeners) total += listener_plan.share;
+  const double drawn = uniform() * total;
   session_ = {};
   for (std::size_t i = 0; i < plan_.listeners.size(); ++i) {
     sum += plan_.listeners[i].share;
@@ -31,45 +31,45 @@
   }
   session_.group = group_;
   session_.load = plan_.load * listener().load * (0.5 + uniform());
-  session_.until = now + scaled(plan_.life, listener().life * std::clamp(exponential(), 0.1, 4.0));
-  tries_ = 0;
+  session_.wanted_until = now + scaled(plan_.life, listener().life * std::clamp(exponential(), 0.1, 4.0));
+  retries_ = 0;
 }
 
-bool ClientModel::due(Micros now) {
-  if (state_ == State::resting) {
-    want(now);
-  } else if (state_ == State::given_up || now >= session_.until) {
+bool ClientModel::begin_attempt(Micros now) {
+  if (state_ == State::idle) {
+    start_session(now);
+  } else if (state_ == State::given_up || now >= session_.wanted_until) {
     return false;
   }
-  state_ = State::coming;
+  state_ = State::connecting;
   return true;
 }
 
-bool ClientModel::wake(Micros now) {
-  if (state_ != State::resting) return false;
-  want(now);
-  state_ = State::coming;
+bool ClientModel::wake_up(Micros now) {
+  if (state_ != State::idle) return false;
+  start_session(now);
+  state_ = State::connecting;
   return true;
 }
 
-// Who has tried often enough goes without for as long as it had wanted the connection.
-Micros ClientModel::not_accepted(Micros now, Micros stated) {
-  if (tries_++ >= plan_.retries) {
+// A client that has used up its retries does without a connection for as long as it had wanted one.
+Micros ClientModel::on_rejected(Micros now, Micros retry_after) {
+  if (retries_++ >= plan_.retries) {
     state_ = State::given_up;
-    return std::max(session_.until - now, 0us);
+    return std::max(session_.wanted_until - now, 0us);
   }
-  state_ = State::coming;
-  session_.retry = true;
+  state_ = State::connecting;
+  session_.is_retry = true;
   const Micros wait = scaled(plan_.retry_after, 0.5 + uniform());
-  return honours_ ? std::max(wait, scaled(stated, 1 + 0.2 * uniform())) : wait;
+  return honours_retry_after_ ? std::max(wait, scaled(retry_after, 1 + 0.2 * uniform())) : wait;
 }
 
-Micros ClientModel::broken(Micros now) {
-  if (now >= session_.until) return ended();
-  state_ = State::coming;
-  tries_ = 0;
-  session_.retry = false;
-  session_.again = true;
+Micros ClientModel::on_connection_lost(Micros now) {
+  if (now >= session_.wanted_until) return on_session_end();
+  state_ = State::connecting;
+  retries_ = 0;
+  session_.is_retry = false;
+  session_.is_reconnect = true;
   return plan_.returns[0] + scaled(plan_.returns[1] - plan_.returns[0], uniform());
 }
 
--- a/src/lab/models/client_model.h
+++ b/src/lab/models/client_model.h
@@ -1,5 +1,6 @@
-// A client, as somebody who wants a connection for a while: when it asks, how long it waits, when it tries
-// again, when it has had enough. No I/O and no clock: each call says the time and is answered by what to do.
+// The behaviour of one client: when it wants a connection and for how long, how long it waits for an answer,
+// when it retries and when it gives up. Performs no I/O and reads no clock: calls pass the time and return
+// what to do next.
 #pragma once
 
 #include <optional>
@@ -11,66 +12,72 @@
 
 class ClientModel {
  public:
-  enum class State { resting, coming, asking, open, given_up };
+  enum class State { idle, connecting, waiting, open, given_up };
   struct Session {
     std::size_t listener = 0;
     double load = 0;
     std::uint64_t group = 0;  // zero: none
-    Micros until{0};          // it is wanted
-    bool retry = false, again = false;
+    Micros wanted_until{0};
+    bool is_retry = false, is_reconnect = false;
   };
 
   ClientModel(const TrafficPlan& plan, std::uint64_t key, std::uint64_t group, std::uint64_t seed)
-      : plan_(plan), key_(key), group_(group), chance_(static_cast<std::knuth_b::result_type>(seed | 1)) {
-    honours_ = uniform() < plan.honours;
+      : plan_(plan), key_(key), group_(group), random_(static_cast<std::knuth_b::result_type>(seed | 1)) {
+    honours_retry_after_ = uniform() < plan.honours;
   }
 
+  // The key in the OPEN line.
   std::uint64_t key() const { return key_; }
   State state() const { return state_; }
   const Session& session() const { return session_; }
   const ListenerPlan& listener() const { return plan_.listeners[session_.listener]; }
-  bool wants(Micros now) const { return state_ != State::resting && now < session_.until; }
+  // True while the client wants a connection, open or not.
+  bool wants(Micros now) const { return state_ != State::idle && now < session_.wanted_until; }
 
-  // Each tells how long to wait for the next call of due().
-  Micros begin();  // at the start of a run: part of a pause
-  // A pause or a wait is over. True: connect and ask now.
-  bool due(Micros now);
-  void asked() { state_ = State::asking; }
-  void up() { state_ = State::open; }
-  // Refused (with a stated wait or none), torn down, or no answer in time: when it comes again.
-  Micros not_accepted(Micros now, Micros stated);
-  // Its open connection broke, or it was told to move.
-  Micros broken(Micros now);
-  // It has had what it wanted, or that time is over.
-  Micros ended();
-  // Called by others to come at once, if it rests.
-  bool wake(Micros now);
+  // The calls that return a time return how long to wait before the next call of begin_attempt().
 
-  Micros patience() const { return listener().rules.dial_timeout; }
-  // After how long it goes while it waits for its answer; never: it waits as long as it may.
-  std::optional<Micros> leaves_after() {
+  // At the start of a run. Returns a part of a pause, so that clients start at different times.
+  Micros start();
+  // The wait is over. True if the client is to connect and send its request now.
+  bool begin_attempt(Micros now);
+  void request_sent() { state_ = State::waiting; }
+  void accepted() { state_ = State::open; }
+  // The request was refused (`retry_after` is zero if the refusal stated none), torn down or not answered in
+  // time.
+  Micros on_rejected(Micros now, Micros retry_after);
+  // The open connection broke, or the client was told to move.
+  Micros on_connection_lost(Micros now);
+  // The session is complete, or the time for which it was wanted is over.
+  Micros on_session_end();
+  // Ends a pause early. False if the client is not idle.
+  bool wake_up(Micros now);
+
+  // How long the client waits for an answer.
+  Micros answer_timeout() const { return listener().rules.dial_timeout; }
+  // How long the client waits before it leaves without an answer; none if it waits for the full timeout.
+  std::optional<Micros> early_leave_delay() {
     if (plan_.leaves == 0 || uniform() >= plan_.leaves) return std::nullopt;
-    return scaled(patience(), uniform());
+    return scaled(answer_timeout(), uniform());
   }
-  double uniform() { return std::generate_canonical<double, 32>(chance_); }
+  double uniform() { return std::generate_canonical<double, 32>(random_); }
   double exponential() { return -std::log(1 - uniform()); }
   unsigned line_size() {
     return plan_.line[0] + static_cast<unsigned>(uniform() * (plan_.line[1] - plan_.line[0] + 1));
   }
 
  private:
-  void want(Micros now);
-  Micros scaled(Micros mean, double by) const {
-    return Micros{static_cast<std::int64_t>(static_cast<double>(mean.count()) * by)};
+  void start_session(Micros now);
+  Micros scaled(Micros time, double factor) const {
+    return Micros{static_cast<std::int64_t>(static_cast<double>(time.count()) * factor)};
   }
 
   const TrafficPlan& plan_;
   std::uint64_t key_, group_;
-  std::knuth_b chance_;
-  State state_ = State::resting;
+  std::knuth_b random_;
+  State state_ = State::idle;
   Session session_;
-  unsigned tries_ = 0;
-  bool honours_ = true;
+  unsigned retries_ = 0;
+  bool honours_retry_after_ = true;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/models/network_client.h
+++ b/src/lab/models/network_client.h
@@ -1,4 +1,4 @@
-// A client of the lab on a network: the platform's line protocol round a ClientModel.
+// Clients of the lab on a network: they speak the line protocol to a node as a ClientModel decides.
 #pragma once
 
 #include <deque>
@@ -12,16 +12,17 @@
 
 namespace flintweir::lab {
 
-// What a client needs of the world: a way in, and a place in the register.
+// What a client needs of its surroundings: a node to connect to, a session number, and the counters.
 class ClientEnvironment {
  public:
   struct Route {
     NodeNo node;
     Address address;
   };
-  virtual std::optional<Route> choose_node(ZoneNo zone) = 0;
+  virtual std::optional<Route> choose_node(ZoneNo zone) = 0;  // none if no node is in service
+  // Assigns the number that the OPEN line gives; hosts look up the load and the group by it.
   virtual SessionNo register_session(const ClientModel::Session& session) = 0;
-  virtual Second& current_second() = 0;  // of the run that it is now
+  virtual Second& current_second() = 0;  // the counters of the current second of the run
   virtual Tally& tally() = 0;
 
  protected:
@@ -31,110 +32,127 @@
 class NetworkClient final : net::StreamEvents, net::TimerEvents {
  public:
   NetworkClient(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone,
-                ClientModel model, ClientEnvironment& entry, Checker& checker, EventLog& log,
+                ClientModel model, ClientEnvironment& environment, Checker& checker, EventLog& log,
                 const TrafficPlan& plan)
       : stream_(sockets),
-        out_(stream_),
+        writer_(stream_),
         timers_(timers),
         machine_(machine),
         zone_(zone),
         model_(std::move(model)),
-        entry_(entry),
+        environment_(environment),
         checker_(checker),
         log_(log),
         plan_(plan) {}
 
   void start();
-  void connect_now();      // at once, if it rests
-  bool drop_connection();  // breaks its connection, if it has one, and comes again
+  // Connects at once if the client is idle.
+  void connect_now();
+  // Resets the open connection and schedules a reconnect; false if no connection is open.
+  bool drop_connection();
   void stop() { stream_.close(); }
   bool wants(Micros now) const { return model_.wants(now); }
   double utility() const { return model_.listener().rules.utility; }
-  // Whether its connection does what it is for.
+  // True if a connection is open and its lines are answered within the target of the listener.
   bool meets_message_target(Micros now) const;
 
  private:
-  enum class Phase { idle, connecting, asking, open, ending };
-  enum class Due : std::uint64_t { due, patience, speak, had, linger, leave };
-  std::uint64_t token(Due due) const { return turn_ << 3 | static_cast<std::uint64_t>(due); }
+  enum class Phase { idle, connecting, waiting, open, closing };
+  enum class Timer : std::uint64_t { attempt, answer_timeout, send_line, session_end, close_timeout, leave };
+  std::uint64_t timer_token(Timer timer) const {
+    return generation_ << 3 | static_cast<std::uint64_t>(timer);
+  }
   void connected(net::Stream&, net::ConnectResult result) override;
   void input_ready(net::Stream&) override;
   void writable(net::Stream&) override;
   void broken(net::Stream&) override;
   void timer_expired(std::uint64_t token) override;
-  void wait(Micros in);  // for the next call of due()
-  void ask();
-  void sent();
-  void first(std::string_view line, std::size_t whole);  // with its end it is so long
-  void heard(std::string_view line);
-  void speak();
-  void over(bool by_itself);
-  void shut();  // closes, and forgets what is due
+  void schedule_attempt(Micros delay);
+  void connect();
+  void report_request();  // once the request has been written out
+  // `size` is the length of the line with its line end.
+  void on_answer(std::string_view line, std::size_t size);
+  void on_line(std::string_view line);
+  void send_line();
+  // The connection has ended; `by_client` if this client is the one that closes.
+  void on_closed(bool by_client);
+  void close();  // closes the connection and cancels all timers
 
   net::Stream stream_;
-  BufferedWriter out_;
+  BufferedWriter writer_;
   net::TimerQueue& timers_;
   MachineNo machine_;
   ZoneNo zone_;
   ClientModel model_;
-  ClientEnvironment& entry_;
+  ClientEnvironment& environment_;
   Checker& checker_;
   EventLog& log_;
   const TrafficPlan& plan_;
   Phase phase_ = Phase::idle;
-  std::uint64_t turn_ = 1;
-  SessionNo id_;
+  std::uint64_t generation_ = 1;
+  SessionNo session_id_;
   NodeNo node_;
-  Micros asked_at_{0}, last_took_{0};
-  std::deque<Micros> unanswered_;  // when each line was said
-  unsigned said_ = 0;
-  bool counted_ = false, moved_ = false, asked_told_ = false;
+  Micros requested_at_{0}, last_response_time_{0};
+  std::deque<Micros> unanswered_lines_;  // when each was sent
+  unsigned lines_sent_ = 0;
+  bool session_counted_ = false, moved_ = false, request_reported_ = false;
 };
 
-// How clients break the protocol, one kind after the other.
+// A client that breaks the protocol, in one randomly chosen way after the other. The node has to answer with
+// an error or close within the limit of Rule::rude.
 class MisbehavingClient final : net::StreamEvents, net::TimerEvents {
  public:
   MisbehavingClient(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone,
-                    ClientEnvironment& entry, std::function<bool(NodeNo)> node_sound, Checker& checker,
-                    EventLog& log, std::uint64_t seed)
+                    ClientEnvironment& environment, std::function<bool(NodeNo)> node_reachable,
+                    Checker& checker, EventLog& log, std::uint64_t seed)
       : stream_(sockets),
-        out_(stream_),
+        writer_(stream_),
         timers_(timers),
         machine_(machine),
         zone_(zone),
-        entry_(entry),
-        node_sound_(std::move(node_sound)),
+        environment_(environment),
+        node_reachable_(std::move(node_reachable)),
         checker_(checker),
         log_(log),
-        chance_(static_cast<std::knuth_b::result_type>(seed | 1)) {}
-  void start() { next(); }
+        random_(static_cast<std::knuth_b::result_type>(seed | 1)) {}
+  void start() { schedule_next(); }
   void stop() { stream_.close(); }
 
  private:
-  enum Kind : unsigned { silent, rubbish, endless, twice, half, leaves, flood, unknown, kinds };
+  enum Kind : unsigned {
+    silent,
+    other_protocol,
+    overlong_line,
+    double_request,
+    partial_request,
+    abort_after_ping,
+    ping_flood,
+    unknown_listener,
+    kind_count
+  };
   void connected(net::Stream&, net::ConnectResult result) override;
   void input_ready(net::Stream&) override;
-  void writable(net::Stream&) override { out_.flush(); }
-  void broken(net::Stream&) override { done(); }
+  void writable(net::Stream&) override { writer_.flush(); }
+  void broken(net::Stream&) override { finish(); }
   void timer_expired(std::uint64_t token) override;
-  void next();
-  void done();
+  void schedule_next();
+  void finish();
 
   net::Stream stream_;
-  BufferedWriter out_;
+  BufferedWriter writer_;
   net::TimerQueue& timers_;
   MachineNo machine_;
   ZoneNo zone_;
-  ClientEnvironment& entry_;
-  std::function<bool(NodeNo)> node_sound_;
+  ClientEnvironment& environment_;
+  std::function<bool(NodeNo)> node_reachable_;
   Checker& checker_;
   EventLog& log_;
-  std::knuth_b chance_;
+  std::knuth_b random_;
   Kind kind_ = silent;
   NodeNo node_;
-  std::uint64_t turn_ = 0;
-  Micros began_{0};
-  bool waiting_ = false;
+  std::uint64_t generation_ = 0;
+  Micros connected_at_{0};
+  bool awaiting_error_ = false;
 };
 
 }  // namespace flintweir::lab
