--- a/src/lab/models/host_model.cpp
+++ b/src/lab/models/host_model.cpp
@@ -7,19 +7,19 @@
 namespace flintweir::lab {
 
 void HostModel::start(Micros now, bool cold) {
-  started_ = at_ = now;
+  started_ = updated_at_ = now;
   cold_start_ = cold;
-  draining_ = tipped_ = hangs_ = half_dead_ = false;
-  errs_ = resets_ = load_ = waiting_ = pushed_ = 0;
+  draining_ = overloaded_ = hanging_ = half_dead_ = false;
+  error_share_ = reset_share_ = load_ = backlog_seconds_ = cold_load_ratio_ = 0;
   speed_ = 1;
   connections_ = 0;
-  groups_.clear();
-  sent_.clear();
+  sessions_by_group_.clear();
+  recent_cold_load_.clear();
   report_ = {};
   reported_at_ = Micros::min();
 }
 
-double HostModel::present(Micros now) const {
+double HostModel::current_capacity(Micros now) const {
   const double warm =
       cold_start_ ? std::min(1.0, cold_.share + (1 - cold_.share) * ratio(now - started_, cold_.warm_within))
                   : 1;
@@ -27,63 +27,66 @@
 }
 
 double HostModel::utilization() const {
-  return (load_ + plan_.group_cost * mean_load_ * static_cast<double>(groups_.size())) / present(at_);
+  return (load_ + plan_.group_cost * mean_load_ * static_cast<double>(sessions_by_group_.size())) /
+         current_capacity(updated_at_);
 }
 
-// Work that is asked over what it can do piles up, and is done when less is asked.
+// Demand beyond the capacity builds up a backlog, which is worked off when demand is lower.
 void HostModel::advance(Micros now) {
-  if (now <= at_) return;
-  const double over = utilization() - 1;
-  waiting_ = std::clamp(waiting_ + over * seconds(now - at_), 0.0, 5.0);
-  at_ = now;
+  if (now <= updated_at_) return;
+  const double excess = utilization() - 1;
+  backlog_seconds_ = std::clamp(backlog_seconds_ + excess * seconds(now - updated_at_), 0.0, 5.0);
+  updated_at_ = now;
 }
 
-HostModel::Verdict HostModel::open(Micros now, double load) {
+HostModel::Response HostModel::handle_request(Micros now, double load) {
   advance(now);
   if (is_cold(now)) {
-    while (!sent_.empty() && now - sent_.front().first > cold_.tip_after) sent_.pop_front();
-    sent_.emplace_back(now, load);
+    while (!recent_cold_load_.empty() && now - recent_cold_load_.front().first > cold_.tip_after)
+      recent_cold_load_.pop_front();
+    recent_cold_load_.emplace_back(now, load);
     double sum = 0;
-    for (const auto& [at, x] : sent_) sum += x;
-    const double share = present(now) / (capacity_ * speed_);
-    // One session alone, however heavy, is no push.
+    for (const auto& [at, dial_load] : recent_cold_load_) sum += dial_load;
+    const double share = current_capacity(now) / (capacity_ * speed_);
+    // A single session never overloads a host, however heavy it is.
     const double budget = cold_.multiple * share * full_rate_ * seconds(cold_.tip_after) + mean_load_;
-    pushed_ = sum / budget;
-    if (pushed_ > 1 && sent_.size() > 1) tipped_ = true;
+    cold_load_ratio_ = sum / budget;
+    if (cold_load_ratio_ > 1 && recent_cold_load_.size() > 1) overloaded_ = true;
   }
   if (hanging()) return {Answer::nothing, Micros{0}};
-  const Micros quick{plan_.answers[0] +
+  const Micros delay{plan_.answers[0] +
                      Micros{static_cast<std::int64_t>(
                          uniform() * static_cast<double>((plan_.answers[1] - plan_.answers[0]).count()))}};
-  if (resets_ > 0 && uniform() < resets_) return {Answer::reset, quick};
-  if (errs_ > 0 && uniform() < errs_) return {Answer::err, quick};
-  if (draining_ || connections_ >= plan_.connections) return {Answer::busy, quick};
-  return {Answer::up, quick + Micros{static_cast<std::int64_t>(waiting_ * 1e6)}};
+  if (reset_share_ > 0 && uniform() < reset_share_) return {Answer::reset, delay};
+  if (error_share_ > 0 && uniform() < error_share_) return {Answer::err, delay};
+  if (draining_ || connections_ >= plan_.connections) return {Answer::busy, delay};
+  return {Answer::up, delay + Micros{static_cast<std::int64_t>(backlog_seconds_ * 1e6)}};
 }
 
-void HostModel::opened(Micros now, double load, std::uint64_t group) {
+void HostModel::session_opened(Micros now, double load, std::uint64_t group) {
   advance(now);
   load_ += load;
   ++connections_;
-  if (group) ++groups_[group];
+  if (group) ++sessions_by_group_[group];
 }
 
-void HostModel::changed(Micros now, double by) {
+void HostModel::load_changed(Micros now, double difference) {
   advance(now);
-  load_ += by;
+  load_ += difference;
 }
 
-void HostModel::closed(Micros now, double load, std::uint64_t group) {
+void HostModel::session_closed(Micros now, double load, std::uint64_t group) {
   advance(now);
   --connections_;
   load_ = connections_ ? load_ - load : 0;
-  if (const auto it = groups_.find(group); it != groups_.end() && --it->second == 0) groups_.erase(it);
+  if (const auto it = sessions_by_group_.find(group); it != sessions_by_group_.end() && --it->second == 0)
+    sessions_by_group_.erase(it);
 }
 
-Micros HostModel::line_takes(Micros now) {
+Micros HostModel::line_service_time(Micros now) {
   advance(now);
   return Micros{static_cast<std::int64_t>(static_cast<double>(plan_.serves.count()) * (0.5 + uniform()) +
-                                          waiting_ * 1e6)};
+                                          backlog_seconds_ * 1e6)};
 }
 
 const HostModel::Report& HostModel::report(Micros now) {
--- a/src/lab/models/host_server.h
+++ b/src/lab/models/host_server.h
@@ -1,4 +1,4 @@
-// A host of the lab on a network: the platform's line protocol round a HostModel.
+// A host of the lab on a network: speaks the line protocol to nodes as a HostModel decides.
 #pragma once
 
 #include <deque>
@@ -12,14 +12,14 @@
 
 namespace flintweir::lab {
 
-// What a first line stands for, by the number that it gives.
+// The load and the group of a session; hosts look them up by the number in the OPEN line.
 struct SessionLoad {
   double load = 0;
   std::uint64_t group = 0;
 };
 class SessionRegistry {
  public:
-  virtual const SessionLoad* find_session(SessionNo id) const = 0;
+  virtual const SessionLoad* find_session(SessionNo id) const = 0;  // null if unknown
 
  protected:
   ~SessionRegistry() = default;
@@ -27,65 +27,65 @@
 
 class HostServer final : net::AcceptEvents, net::TimerEvents {
  public:
-  HostServer(net::Network& network, HostModel& model, HostNo no, std::string name,
-             const SessionRegistry& known, Checker& checker, EventLog& log, const HostPlan& plan,
-             const TrafficPlan& traffic, Micros tip_after, std::uint64_t seed);
+  HostServer(net::Network& network, HostModel& model, HostNo host_no, std::string name,
+             const SessionRegistry& registry, Checker& checker, EventLog& log, const HostPlan& plan,
+             const TrafficPlan& traffic, Micros overload_window, std::uint64_t seed);
 
   void serve(const Address& at);  // throws std::system_error
-  void drain();                   // sends its clients away as the plan says
-  void resume();                  // after it has hung
-  void abort_all();               // breaks everything off
+  void drain();                   // refuses new sessions and moves open ones as planned
+  void resume();                  // handles what arrived during a hang
+  void abort_all();               // resets all connections
 
  private:
-  struct Call final : net::StreamEvents {
-    explicit Call(HostServer& h) : host(h), stream(h.sockets_), out(stream) {}
-    void input_ready(net::Stream&) override { host.came(*this); }
-    void writable(net::Stream&) override { host.written(*this); }
-    void broken(net::Stream&) override { host.over(*this, false); }
+  struct Connection final : net::StreamEvents {
+    explicit Connection(HostServer& server) : host(server), stream(server.sockets_), writer(stream) {}
+    void input_ready(net::Stream&) override { host.on_input(*this); }
+    void writable(net::Stream&) override { host.on_writable(*this); }
+    void broken(net::Stream&) override { host.on_closed(*this, false); }
     HostServer& host;
     net::Stream stream;
-    BufferedWriter out;
+    BufferedWriter writer;
     SlabKey key;
-    enum class Phase { first, answering, open, leaving } phase = Phase::first;
+    enum class Phase { awaiting_request, answering, open, closing } phase = Phase::awaiting_request;
     SessionNo session;
-    HostDialNo call;
+    HostDialNo dial_id;
     HostModel::Answer answer = HostModel::Answer::nothing;
-    double load = 0, told_load = 0;
+    double load = 0, reported_load = 0;
     std::uint64_t group = 0;
-    Micros loaded_at{0}, last_reply{0};
-    std::deque<unsigned> replies;  // sizes
-    unsigned said = 0;
+    Micros load_updated_at{0}, last_reply{0};
+    std::deque<unsigned> pending_replies;  // their sizes
+    unsigned lines_sent = 0;
   };
-  enum class Due : std::uint64_t { answer, reply, leave, away, give_up };
+  enum class Timer : std::uint64_t { answer, reply, leave, move, close_timeout };
   void connection_pending() override;
   void timer_expired(std::uint64_t token) override;
-  static std::uint64_t token(SlabKey key, Due due) {
-    return key.packed() | static_cast<std::uint64_t>(due) << 28;
+  static std::uint64_t timer_token(SlabKey key, Timer timer) {
+    return key.packed() | static_cast<std::uint64_t>(timer) << 28;
   }
-  void came(Call& c);
-  void written(Call& c);
-  void over(Call& c, bool cleanly);
-  void first_line(Call& c, std::string_view line);
-  void answer(Call& c);
-  void reply(Call& c);
-  void say(Call& c, const std::string& line);
-  void send_away(Call& c);
-  void leave(Call& c, Checker::CloseKind how, std::string_view last);
-  void free(Call& c);
+  void on_input(Connection& connection);
+  void on_writable(Connection& connection);
+  void on_closed(Connection& connection, bool cleanly);
+  void handle_first_line(Connection& connection, std::string_view line);
+  void send_answer(Connection& connection);
+  void send_reply(Connection& connection);
+  void send_line(Connection& connection, const std::string& line);
+  void send_move(Connection& connection);
+  void close_gracefully(Connection& connection, Checker::CloseKind kind, std::string_view last_line);
+  void release(Connection& connection);
 
   net::Sockets sockets_;
   net::TimerQueue timers_;
   HostModel& model_;
-  HostNo no_;
+  HostNo host_no_;
   std::string name_;
-  const SessionRegistry& known_;
+  const SessionRegistry& registry_;
   Checker& checker_;
   EventLog& log_;
   const HostPlan& plan_;
   const TrafficPlan& traffic_;
-  Micros tip_after_;
-  std::knuth_b chance_;
-  Slab<Call> calls_;
+  Micros overload_window_;
+  std::knuth_b random_;
+  Slab<Connection> connections_;
   std::uint64_t receipts_ = 0;
 };
 
