--- a/src/lab/models/list_model.h
+++ b/src/lab/models/list_model.h
@@ -1,4 +1,5 @@
-// Discovery, as a list that is late: what changed is told a while after it did. No I/O and no clock.
+// The host list of discovery, with a delay between a change and its publication. Performs no I/O and reads no
+// clock.
 #pragma once
 
 #include <algorithm>
@@ -20,48 +21,50 @@
   };
   struct Change {
     std::uint64_t version;
-    Micros told_from;
+    Micros published_at;
     Entry entry;
   };
 
-  explicit ListModel(std::uint64_t version) : version_(version), first_(version) {}
-  // Changes are told in the order in which they came, each no sooner than at `told_from`.
-  void add_change(const Entry& entry, Micros told_from) {
-    if (!changes_.empty()) told_from = std::max(told_from, changes_.back().told_from);
-    changes_.push_back({++version_, told_from, entry});
+  explicit ListModel(std::uint64_t version) : version_(version), initial_version_(version) {}
+  // Changes are published in the order in which they are added, none before its `published_at`.
+  void add_change(const Entry& entry, Micros published_at) {
+    if (!changes_.empty()) published_at = std::max(published_at, changes_.back().published_at);
+    changes_.push_back({++version_, published_at, entry});
   }
-  // What it tells from `now` on stays as it is until thawed.
-  void freeze(Micros now) { frozen_ = now; }
-  void unfreeze() { frozen_ = Micros::max(); }
+  // Keeps the published list as it is at `now` until unfreeze().
+  void freeze(Micros now) { frozen_at_ = now; }
+  void unfreeze() { frozen_at_ = Micros::max(); }
 
   std::uint64_t version(Micros now) const {
-    std::uint64_t out = first_;
-    for (const Change& c : changes_)
-      if (c.told_from <= std::min(now, frozen_)) out = c.version;
-    return out;
+    std::uint64_t latest = initial_version_;
+    for (const Change& change : changes_)
+      if (change.published_at <= std::min(now, frozen_at_)) latest = change.version;
+    return latest;
   }
-  // Entries that changed after a version, the latest of each; after 0 all that are not gone.
+  // The latest entry of each host that changed after `version`; for version 0, all hosts that are not
+  // removed.
   std::vector<Entry> changes_since(std::uint64_t version, Micros now) const {
-    std::vector<Entry> out;
-    for (const Change& c : changes_) {
-      if (c.told_from > std::min(now, frozen_)) break;
-      if (c.version <= version) continue;
-      std::erase_if(out, [&](const Entry& e) { return e.name == c.entry.name; });
-      out.push_back(c.entry);
+    std::vector<Entry> entries;
+    for (const Change& change : changes_) {
+      if (change.published_at > std::min(now, frozen_at_)) break;
+      if (change.version <= version) continue;
+      std::erase_if(entries, [&](const Entry& other) { return other.name == change.entry.name; });
+      entries.push_back(change.entry);
     }
-    if (version == 0) std::erase_if(out, [](const Entry& e) { return e.status == HostStatus::removed; });
-    return out;
+    if (version == 0)
+      std::erase_if(entries, [](const Entry& other) { return other.status == HostStatus::removed; });
+    return entries;
   }
-  // When the next change becomes known; max: none is under way.
-  Micros next_after(Micros now) const {
-    for (const Change& c : changes_)
-      if (c.told_from > now) return c.told_from;
+  // When the next change will be published, max() if none is pending.
+  Micros next_change_after(Micros now) const {
+    for (const Change& change : changes_)
+      if (change.published_at > now) return change.published_at;
     return Micros::max();
   }
 
  private:
-  std::uint64_t version_, first_;
-  Micros frozen_ = Micros::max();
+  std::uint64_t version_, initial_version_;
+  Micros frozen_at_ = Micros::max();
   std::vector<Change> changes_;
 };
 
--- a/src/lab/models/list_server.cpp
+++ b/src/lab/models/list_server.cpp
@@ -8,31 +8,32 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kArrives = 20ms;  // what was written, unless the other side has gone
+// How long after writing an answer counts as received, unless the node has closed the connection.
+constexpr Micros kDeliveryTime = 20ms;
 
-const char* state_of(HostStatus s) {
-  return s == HostStatus::active ? "SERVING" : s == HostStatus::draining ? "DRAINING" : "DELETED";
+const char* state_of(HostStatus status) {
+  return status == HostStatus::active ? "SERVING" : status == HostStatus::draining ? "DRAINING" : "DELETED";
 }
 
-std::uint64_t number_after(std::string_view text, std::string_view key, std::uint64_t other) {
+std::uint64_t number_after(std::string_view text, std::string_view key, std::uint64_t fallback) {
   const std::size_t at = text.find(key);
-  return at == text.npos ? other : std::strtoull(text.data() + at + key.size(), nullptr, 10);
+  return at == text.npos ? fallback : std::strtoull(text.data() + at + key.size(), nullptr, 10);
 }
 
 }  // namespace
 
 std::string list_json(const ListModel& list, std::uint64_t since, Micros now) {
-  nlohmann::json out{{"rev", list.version(now)}, {"all", since == 0}, {"targets", nlohmann::json::array()}};
-  for (const ListModel::Entry& e : list.changes_since(since, now)) {
-    out["targets"].push_back({{"uid", e.name},
-                              {"endpoint", e.endpoint},
-                              {"az", e.zone},
-                              {"pod_group", e.cell},
-                              {"state", state_of(e.status)},
-                              {"capacity_hint", e.capacity_hint},
-                              {"boot_ms", e.boot_time / 1ms}});
+  nlohmann::json json{{"rev", list.version(now)}, {"all", since == 0}, {"targets", nlohmann::json::array()}};
+  for (const ListModel::Entry& entry : list.changes_since(since, now)) {
+    json["targets"].push_back({{"uid", entry.name},
+                               {"endpoint", entry.endpoint},
+                               {"az", entry.zone},
+                               {"pod_group", entry.cell},
+                               {"state", state_of(entry.status)},
+                               {"capacity_hint", entry.capacity_hint},
+                               {"boot_ms", entry.boot_time / 1ms}});
   }
-  return out.dump();
+  return json.dump();
 }
 
 void ListServer::serve(const Address& at) {
@@ -41,122 +42,127 @@
 }
 
 void ListServer::connection_pending() {
-  for (net::AcceptResult next = sockets_.network().accept(); next.status == net::IoStatus::done;
-       next = sockets_.network().accept()) {
-    const SlabKey key = calls_.acquire(*this);
-    Call& c = *calls_.find(key);
-    c.key = key;
-    c.written.clear();
-    c.asked = c.watch = c.slowed = false;
-    c.out.clear();
-    c.stream.adopt(next.socket, c);
-    if (mood_.unavailable) {
-      c.stream.abort();
-      free(c);
+  for (net::AcceptResult accepted = sockets_.network().accept(); accepted.status == net::IoStatus::done;
+       accepted = sockets_.network().accept()) {
+    const SlabKey key = connections_.acquire(*this);
+    Connection& connection = *connections_.find(key);
+    connection.key = key;
+    connection.undelivered.clear();
+    connection.request_pending = connection.watch = connection.delay_over = false;
+    connection.writer.clear();
+    connection.stream.adopt(accepted.socket, connection);
+    if (state_.unavailable) {
+      connection.stream.abort();
+      release(connection);
     } else {
-      c.stream.want_read();
+      connection.stream.want_read();
     }
   }
   sockets_.network().wait_accept(*this);
 }
 
-void ListServer::came(Call& c) {
-  const std::string_view held = c.stream.input().buffered();
-  const std::size_t end = held.find("\r\n\r\n");
-  if (!c.asked && end != held.npos) {
-    const std::string head(held.substr(0, end));
-    c.stream.input().consume(end + 4);
-    c.asked = true;
-    c.watch = head.find("since=") != head.npos;
-    c.since = number_after(head, "since=", 0);
-    c.until = timers_.now() + std::chrono::milliseconds(number_after(head, "timeout_ms=", 0));
-    c.slowed = mood_.response_delay == 0us && !mood_.reject_after;
-    if (mood_.reject_after)
-      timers_.schedule(*mood_.reject_after, *this, c.key.packed());
-    else if (c.slowed)
-      look(c);
+void ListServer::on_input(Connection& connection) {
+  const std::string_view input = connection.stream.input().buffered();
+  const std::size_t end = input.find("\r\n\r\n");
+  if (!connection.request_pending && end != input.npos) {
+    const std::string head(input.substr(0, end));
+    connection.stream.input().consume(end + 4);
+    connection.request_pending = true;
+    connection.watch = head.find("since=") != head.npos;
+    connection.since = number_after(head, "since=", 0);
+    connection.watch_until = timers_.now() + std::chrono::milliseconds(number_after(head, "timeout_ms=", 0));
+    connection.delay_over = state_.response_delay == 0us && !state_.reject_after;
+    if (state_.reject_after)
+      timers_.schedule(*state_.reject_after, *this, connection.key.packed());
+    else if (connection.delay_over)
+      try_answer(connection);
     else
-      timers_.schedule(mood_.response_delay, *this, c.key.packed());
-    // Whoever has stopped waiting is told nothing.
-    return c.stream.want_read();
+      timers_.schedule(state_.response_delay, *this, connection.key.packed());
+    // Reads on, so that a node that closes before the answer gets none.
+    return connection.stream.want_read();
   }
-  if (c.stream.at_eof()) return free(c);
-  c.stream.want_read();
+  if (connection.stream.at_eof()) return release(connection);
+  connection.stream.want_read();
 }
 
-void ListServer::look(Call& c) {
-  if (!c.asked || !c.slowed) return;
-  if (mood_.reject_after) return turn_away(c);
+void ListServer::try_answer(Connection& connection) {
+  if (!connection.request_pending || !connection.delay_over) return;
+  if (state_.reject_after) return reject(connection);
   const Micros now = timers_.now();
-  if (!c.watch || list_.version(now) != c.since || now >= c.until) return answer(c);
-  const Micros change = list_.next_after(now);
-  timers_.schedule(std::min(c.until, change) - now, *this, c.key.packed());
+  if (!connection.watch || list_.version(now) != connection.since || now >= connection.watch_until)
+    return send_list(connection);
+  const Micros change = list_.next_change_after(now);
+  timers_.schedule(std::min(connection.watch_until, change) - now, *this, connection.key.packed());
 }
 
-void ListServer::answer(Call& c) {
+void ListServer::send_list(Connection& connection) {
   const Micros now = timers_.now();
-  // A version that this service never gave is answered with all there is.
-  const std::uint64_t since = c.watch && c.since <= list_.version(now) ? c.since : 0;
+  // A version that this service has not reached is answered with the whole list.
+  const std::uint64_t since =
+      connection.watch && connection.since <= list_.version(now) ? connection.since : 0;
   std::string body = list_json(list_, since, now);
-  if (mood_.malformed) body = body.substr(0, body.size() / 2);
-  c.asked = false;
-  const bool said = c.out.say("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " +
-                              std::to_string(body.size()) + "\r\n\r\n" + body);
-  if (said && !mood_.malformed) {
-    c.written.clear();
-    c.written_at = now;
-    for (const ListModel::Entry& e : list_.changes_since(since, now)) {
-      if (e.status == HostStatus::active)
-        told_(e, now);
+  if (state_.malformed) body = body.substr(0, body.size() / 2);
+  connection.request_pending = false;
+  const bool written = connection.writer.write(
+      "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(body.size()) +
+      "\r\n\r\n" + body);
+  if (written && !state_.malformed) {
+    connection.undelivered.clear();
+    connection.written_at = now;
+    for (const ListModel::Entry& entry : list_.changes_since(since, now)) {
+      if (entry.status == HostStatus::active)
+        on_delivered_(entry, now);
       else
-        c.written.push_back(e);
+        connection.undelivered.push_back(entry);
     }
-    timers_.schedule(kArrives, *this, told_token(c.key));
+    timers_.schedule(kDeliveryTime, *this, delivery_token(connection.key));
   }
-  if (!said) return free(c);
-  came(c);
+  if (!written) return release(connection);
+  on_input(connection);
 }
 
-void ListServer::turn_away(Call& c) {
-  c.asked = false;
-  if (!c.out.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")) return free(c);
-  came(c);
+void ListServer::reject(Connection& connection) {
+  connection.request_pending = false;
+  if (!connection.writer.write("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"))
+    return release(connection);
+  on_input(connection);
 }
 
 void ListServer::timer_expired(std::uint64_t token) {
   if (token >> 28 & 1) {
-    if (Call* c = calls_.find(SlabKey::unpacked(token & ~(std::uint64_t{1} << 28))))
-      for (const ListModel::Entry& e : std::exchange(c->written, {})) told_(e, c->written_at);
+    if (Connection* connection = connections_.find(SlabKey::unpacked(token & ~(std::uint64_t{1} << 28))))
+      for (const ListModel::Entry& entry : std::exchange(connection->undelivered, {}))
+        on_delivered_(entry, connection->written_at);
     return;
   }
-  if (Call* c = calls_.find(SlabKey::unpacked(token))) {
-    c->slowed = true;
-    look(*c);
+  if (Connection* connection = connections_.find(SlabKey::unpacked(token))) {
+    connection->delay_over = true;
+    try_answer(*connection);
   }
 }
 
 void ListServer::refresh() {
-  std::vector<SlabKey> all;
-  calls_.for_each([&](SlabKey key, Call&) { all.push_back(key); });
-  for (const SlabKey key : all) {
-    Call* const c = calls_.find(key);
-    if (!c) continue;
-    if (mood_.unavailable) {
-      c->stream.abort();
-      free(*c);
+  std::vector<SlabKey> keys;
+  connections_.for_each([&](SlabKey key, Connection&) { keys.push_back(key); });
+  for (const SlabKey key : keys) {
+    Connection* const connection = connections_.find(key);
+    if (!connection) continue;
+    if (state_.unavailable) {
+      connection->stream.abort();
+      release(*connection);
     } else {
-      look(*c);
+      try_answer(*connection);
     }
   }
 }
 
 void ListServer::abort_all() {
-  calls_.for_each([](SlabKey, Call& c) { c.stream.abort(); });
+  connections_.for_each([](SlabKey, Connection& connection) { connection.stream.abort(); });
 }
 
-void ListServer::free(Call& c) {
-  c.stream.close();
-  calls_.release(c.key);
+void ListServer::release(Connection& connection) {
+  connection.stream.close();
+  connections_.release(connection.key);
 }
 
 }  // namespace flintweir::lab
