--- a/src/lab/models/front_model.h
+++ b/src/lab/models/front_model.h
@@ -1,5 +1,5 @@
-// The front that spreads clients over the nodes of their zone, takes a node in once it has answered a check,
-// and notices only late that one has died. No I/O and no clock.
+// The balancer in front of the nodes: spreads clients over the nodes of their zone, adds a node once it has
+// passed a health check, and removes a failed node only after a delay. Performs no I/O and reads no clock.
 #pragma once
 
 #include <optional>
@@ -14,41 +14,41 @@
 class FrontModel {
  public:
   explicit FrontModel(std::vector<ZoneNo> zones_of_nodes) {
-    for (const ZoneNo z : zones_of_nodes) nodes_.push_back({z});
+    for (const ZoneNo zone : zones_of_nodes) nodes_.push_back({zone});
   }
-  void check_succeeded(NodeNo n) {
-    nodes_[n.value].in = true;
-    nodes_[n.value].away_at.reset();
+  void check_succeeded(NodeNo node_no) {
+    nodes_[node_no.value].in_rotation = true;
+    nodes_[node_no.value].remove_at.reset();
   }
-  // A check failed; clients go on coming for `late` from the first failure on.
-  void check_failed(NodeNo n, Micros now, Micros late) {
-    Seen& node = nodes_[n.value];
-    if (node.in && !node.away_at) node.away_at = now + late;
+  // Clients are still sent to the node for `removal_delay` after its first failed check.
+  void check_failed(NodeNo node_no, Micros now, Micros removal_delay) {
+    NodeState& node = nodes_[node_no.value];
+    if (node.in_rotation && !node.remove_at) node.remove_at = now + removal_delay;
   }
-  // In turn among those of the zone, or of any zone where that has none.
+  // Round-robin over the nodes of the zone, or over all nodes if the zone has none in rotation.
   std::optional<NodeNo> choose(ZoneNo zone, Micros now) {
-    for (const bool any : {false, true}) {
+    for (const bool any_zone : {false, true}) {
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
-        const std::size_t at = (turn_ + i) % nodes_.size();
-        Seen& node = nodes_[at];
-        if (node.away_at && now >= *node.away_at) node.in = false, node.away_at.reset();
-        if (!node.in || (!any && node.zone != zone)) continue;
-        turn_ = at + 1;
-        return NodeNo{static_cast<std::uint32_t>(at)};
+        const std::size_t index = (next_ + i) % nodes_.size();
+        NodeState& node = nodes_[index];
+        if (node.remove_at && now >= *node.remove_at) node.in_rotation = false, node.remove_at.reset();
+        if (!node.in_rotation || (!any_zone && node.zone != zone)) continue;
+        next_ = index + 1;
+        return NodeNo{static_cast<std::uint32_t>(index)};
       }
     }
     return std::nullopt;
   }
-  bool takes(NodeNo n) const { return nodes_[n.value].in; }
+  bool in_rotation(NodeNo node_no) const { return nodes_[node_no.value].in_rotation; }
 
  private:
-  struct Seen {
+  struct NodeState {
     ZoneNo zone;
-    bool in = false;
-    std::optional<Micros> away_at{};
+    bool in_rotation = false;
+    std::optional<Micros> remove_at{};
   };
-  std::vector<Seen> nodes_;
-  std::size_t turn_ = 0;
+  std::vector<NodeState> nodes_;
+  std::size_t next_ = 0;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/models/line_io.h
+++ b/src/lab/models/line_io.h
@@ -1,5 +1,6 @@
-// What clients and hosts of the lab say on an open session: lines that show by their text whose they are and
-// which one, so that none can be lost, altered or doubled unseen.
+// The lines that clients and hosts of the lab send on an open session, and a buffered writer for them. The
+// text of a line identifies its sender, session and number, so that a lost, altered or duplicated line is
+// detected.
 #pragma once
 
 #include <cstdio>
@@ -11,33 +12,34 @@
 
 namespace flintweir::lab {
 
-std::uint64_t hash_line(std::string_view line);  // without its end
-// A line with its end, `size` bytes long (24 at least).
-std::string make_line(const char* who, SessionNo session, unsigned number, unsigned size);
+std::uint64_t hash_line(std::string_view line);  // of a line without its line end
+// A line of `size` bytes (at least 24), including its line end. The text after the head is derived from
+// session and number.
+std::string make_line(const char* sender, SessionNo session, unsigned number, unsigned size);
 
-// A stream with a queue of what it has not taken yet.
+// Queues what a stream does not accept at once; flush() is to be called when the stream is writable.
 class BufferedWriter {
  public:
   explicit BufferedWriter(net::Stream& stream) : stream_(stream) {}
-  // False: the connection is broken.
-  bool say(std::string_view text) {
-    left_ += text;
+  // Returns false if the connection is broken.
+  bool write(std::string_view text) {
+    pending_ += text;
     return flush();
   }
   bool flush() {
-    if (left_.empty()) return true;
-    const auto n = stream_.write(left_);
-    if (!n) return false;
-    left_.erase(0, *n);
-    if (!left_.empty()) stream_.want_write();
+    if (pending_.empty()) return true;
+    const auto written = stream_.write(pending_);
+    if (!written) return false;
+    pending_.erase(0, *written);
+    if (!pending_.empty()) stream_.want_write();
     return true;
   }
-  bool all_out() const { return left_.empty(); }
-  void clear() { left_.clear(); }
+  bool is_empty() const { return pending_.empty(); }
+  void clear() { pending_.clear(); }
 
  private:
   net::Stream& stream_;
-  std::string left_;
+  std::string pending_;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/models/node_health_check.h
+++ b/src/lab/models/node_health_check.h
@@ -1,4 +1,5 @@
-// The front's checks of one node on a network.
+// The front balancer's periodic health check of one node: a PING on a new connection. Calls `on_result` with
+// each outcome; a check without an answer by the next one has failed.
 #pragma once
 
 #include <functional>
@@ -10,47 +11,47 @@
 
 class NodeHealthCheck final : net::StreamEvents, net::TimerEvents {
  public:
-  NodeHealthCheck(net::Sockets& sockets, net::TimerQueue& timers, Micros every,
-                  std::function<void(bool)> told)
-      : stream_(sockets), timers_(timers), every_(every), told_(std::move(told)) {}
+  NodeHealthCheck(net::Sockets& sockets, net::TimerQueue& timers, Micros interval,
+                  std::function<void(bool)> on_result)
+      : stream_(sockets), timers_(timers), interval_(interval), on_result_(std::move(on_result)) {}
 
-  void start(const Address& at) {
-    at_ = at;
+  void start(const Address& address) {
+    address_ = address;
     check();
   }
   void stop() { stream_.close(); }
 
  private:
   void check() {
-    timers_.schedule(every_, *this, ++turn_);
-    if (!stream_.connect(at_, *this)) told_(false);
+    timers_.schedule(interval_, *this, ++generation_);
+    if (!stream_.connect(address_, *this)) on_result_(false);
   }
-  void connected(net::Stream& s, net::ConnectResult result) override {
-    if (result != net::ConnectResult::established || !s.write("PING\r\n")) return over(false);
-    s.want_read();
+  void connected(net::Stream& stream, net::ConnectResult result) override {
+    if (result != net::ConnectResult::established || !stream.write("PING\r\n")) return finish(false);
+    stream.want_read();
   }
-  void input_ready(net::Stream& s) override {
-    if (const auto line = s.input().line()) return over(line->starts_with("PONG"));
-    if (s.at_eof()) return over(false);
-    s.want_read();
+  void input_ready(net::Stream& stream) override {
+    if (const auto line = stream.input().line()) return finish(line->starts_with("PONG"));
+    if (stream.at_eof()) return finish(false);
+    stream.want_read();
   }
-  void broken(net::Stream&) override { over(false); }
-  void over(bool answered) {
+  void broken(net::Stream&) override { finish(false); }
+  void finish(bool answered) {
     stream_.close();
-    told_(answered);
+    on_result_(answered);
   }
-  void timer_expired(std::uint64_t turn) override {
-    if (turn != turn_) return;
-    if (stream_.open()) over(false);  // no answer by the next check
+  void timer_expired(std::uint64_t generation) override {
+    if (generation != generation_) return;
+    if (stream_.open()) finish(false);  // no answer in time
     check();
   }
 
   net::Stream stream_;
   net::TimerQueue& timers_;
-  Micros every_;
-  std::function<void(bool)> told_;
-  Address at_;
-  std::uint64_t turn_ = 0;
+  Micros interval_;
+  std::function<void(bool)> on_result_;
+  Address address_;
+  std::uint64_t generation_ = 0;
 };
 
 }  // namespace flintweir::lab
