--- a/src/lab/checks/checker.cpp
+++ b/src/lab/checks/checker.cpp
@@ -158,7 +158,7 @@
   session.node = node;
   session.client = client;
   session.listener = listener;
-  session.asked_at = now;
+  session.requested_at = now;
   session.answer_timeout = answer_timeout;
   session.exempt = !nodes_[node.value].up;
 }
@@ -172,9 +172,9 @@
   }
   session->answer = answer;
   session->answered_at = now;
-  const Micros late = now - session->asked_at - session->answer_timeout;
+  const Micros late = now - session->requested_at - session->answer_timeout;
   if (late > network_allowance(*session, nullptr) && !session->exempt &&
-      healthy_since(*session, nullptr, session->asked_at))
+      healthy_since(*session, nullptr, session->requested_at))
     report(Rule::answer, id, *session, now, "its answer came " + ms(late) + " too late");
   if (answer == Answer::up) {
     for (const Dial& dial : session->dials)
@@ -230,8 +230,8 @@
   session->client_done_at = now;
   session->awaiting_reply_since = Micros{0};
   if (session->answer == Answer::none && !session->exempt &&
-      now - session->asked_at - session->answer_timeout > network_allowance(*session, nullptr) &&
-      healthy_since(*session, nullptr, session->asked_at)) {
+      now - session->requested_at - session->answer_timeout > network_allowance(*session, nullptr) &&
+      healthy_since(*session, nullptr, session->requested_at)) {
     report(Rule::answer, id, *session, now, "no answer came in time");
   }
 }
@@ -243,7 +243,7 @@
   session->client_done_at = now;
   session->awaiting_reply_since = Micros{0};
   if (session->exempt || !nodes_[session->node.value].up ||
-      !healthy_since(*session, nullptr, session->asked_at))
+      !healthy_since(*session, nullptr, session->requested_at))
     return;
   if (session->answer == Answer::none)
     return report(Rule::answer, id, *session, now, "its connection ended with no answer");
@@ -285,7 +285,7 @@
     if (late > kSocketAllowance + network_time &&
         paths_.healthy_since(unavailable->second.list_machine, node.machine,
                              unavailable->second.path_since) &&
-        paths_.healthy_since(node.machine, host_state.machine, session->asked_at))
+        paths_.healthy_since(node.machine, host_state.machine, session->requested_at))
       report(Rule::drain, id, *session, now,
              "it was sent to " + host_state.name + ' ' + ms(late) + " after the grace of its drain");
   }
@@ -295,8 +295,8 @@
     const Micros late = now - session->client_done_at - kMaxDialDelayAfterClientGone;
     const Micros network_time = paths_.max_delay(session->client, node.machine) +
                                 3 * paths_.max_delay(node.machine, host_state.machine);
-    if (late > network_time && paths_.healthy_since(session->client, node.machine, session->asked_at) &&
-        paths_.healthy_since(node.machine, host_state.machine, session->asked_at))
+    if (late > network_time && paths_.healthy_since(session->client, node.machine, session->requested_at) &&
+        paths_.healthy_since(node.machine, host_state.machine, session->requested_at))
       report(Rule::gone, id, *session, now,
              "it was sent to " + host_state.name + ' ' + ms(late + kMaxDialDelayAfterClientGone) +
                  " after its client had gone");
@@ -313,7 +313,7 @@
   if (session->answer == Answer::busy || session->answer == Answer::err) {
     // A request sent before the answer and lost by the network may arrive once the path has recovered.
     if (now - session->answered_at > kSocketAllowance + network_allowance(*session, nullptr) &&
-        paths_.healthy_since(node.machine, host_state.machine, session->asked_at))
+        paths_.healthy_since(node.machine, host_state.machine, session->requested_at))
       report(Rule::answer, id, *session, now, "it was dialled after its final answer");
   }
   if (first && session->listener.effect == Effect::once_only)
@@ -441,8 +441,8 @@
   }
   if (!session.client_done) {
     if (session.answer == Answer::none &&
-        now - session.asked_at - session.answer_timeout > network_allowance(session, nullptr) &&
-        healthy_since(session, nullptr, session.asked_at))
+        now - session.requested_at - session.answer_timeout > network_allowance(session, nullptr) &&
+        healthy_since(session, nullptr, session.requested_at))
       report(Rule::answer, id, session, now, "no answer has come in time");
     if (accepted && !session.moved) {
       if (accepted->host_closed &&
--- a/src/lab/checks/checker.h
+++ b/src/lab/checks/checker.h
@@ -132,7 +132,7 @@
     NodeNo node;
     MachineNo client;
     Listener listener;
-    Micros asked_at{0}, answer_timeout{0};
+    Micros requested_at{0}, answer_timeout{0};
     Answer answer = Answer::none;
     Micros answered_at{0}, client_done_at{0}, awaiting_reply_since{0}, moved_at{0};
     bool client_done = false, clean_close = false, moved = false;
