--- a/src/lab/checks/checker.h
+++ b/src/lab/checks/checker.h
@@ -75,6 +75,7 @@
   void host_up(HostNo host, MachineNo machine, const std::string& name, ZoneNo zone, CellId cell,
                Micros boot_time);
   void host_down(HostNo host, Micros now);
+  // The host stops answering anything, or answers again.
   void host_silent(HostNo host, bool silent, Micros now);
   // A cold host has become overloaded.
   void host_overloaded(HostNo host, Micros now);
@@ -94,6 +95,8 @@
   void client_received_line(SessionNo id, std::uint64_t line, bool is_move, Micros now);
   void client_closed(SessionNo id, bool cleanly, Micros now);  // on its own initiative
   void client_saw_close(SessionNo id, Micros now);
+  // A client that broke the protocol has waited this long for an error or a close. `allowance` is added to
+  // the limit.
   void check_bad_client_wait(Micros waited, Micros allowance, const char* kind, Micros now);
 
   // Events at a host.
--- a/src/lab/checks/interleaving.h
+++ b/src/lab/checks/interleaving.h
@@ -15,15 +15,15 @@
 struct Interleaving {
   enum class Stream { client, host, list };  // the sender of the text that is cut
   enum class Event {
-    client_ends,
+    client_ends,  // the client closes its sending side
     client_resets,
-    host_ends,
-    host_resets,
-    stop,
-    reload,
-    drain,
-    late,
-    silence,
+    host_ends,    // the host closes its sending side
+    host_resets,  // if the list's text is cut, the list service resets
+    stop,         // SIGTERM
+    reload,       // SIGHUP, with a configuration that names another list service
+    drain,        // the list reports a host as draining
+    late,         // nothing happens, but the rest of the text comes later than a dial may take
+    silence,      // the rest of the text never comes
     // Faults of the list service. A host starts to drain when the fault begins, unless stated otherwise; the
     // node has to know 6 s after it could have learnt of it, 4 s after a new configuration.
     turned_away,  // for a while, calls are alternately answered 503 and reset
