--- a/apps/flintweir_lab.cpp
+++ b/apps/flintweir_lab.cpp
@@ -18,8 +18,8 @@
 #include <thread>
 
 #include "lab/checks/interleaving.h"
-#include "lab/faults/bad_file.h"
-#include "lab/faults/builtin.h"
+#include "lab/faults/builtin_experiment.h"
+#include "lab/faults/input_error.h"
 #include "lab/fleet/change_rig.h"
 #include "lab/fleet/hollow.h"
 #include "lab/fleet/rig.h"
@@ -47,13 +47,13 @@
   unsigned long long a, b;
   if (std::sscanf(text.c_str(), "%llu..%llu%c", &a, &b, &extra) == 2 && a <= b) return {a, b};
   if (std::sscanf(text.c_str(), "%llu%c", &a, &extra) == 1) return {a, a};
-  throw BadFile("--seeds: '" + text + "' is neither a number nor a range such as 1..20");
+  throw InputError("--seeds: '" + text + "' is neither a number nor a range such as 1..20");
 }
 
 Experiment read(const std::string& file, const std::string& variant) {
-  if (file.empty()) return Experiment::of_text(kBuiltinDay, "built-in day", variant);
-  if (!fs::exists(file)) throw BadFile(file + ":0: file: is not there");
-  return Experiment::of_file(file, variant);
+  if (file.empty()) return Experiment::from_text(kBuiltinExperiment, "built-in day", variant);
+  if (!fs::exists(file)) throw InputError(file + ":0: file: is not there");
+  return Experiment::from_file(file, variant);
 }
 
 // Where the program lies: beside this one, unless it is named.
@@ -115,11 +115,11 @@
     const fs::path folder = (ways.out.empty() ? fs::temp_directory_path() : ways.out) /
                             ("real-" + std::to_string(getpid()) + "-" + std::to_string(seed));
     fs::create_directories(folder);
-    Ran ran = run_real(e, seed, {keep, false}, ways.program, folder.string());
+    RunResult ran = run_real(e, seed, {keep, false}, ways.program, folder.string());
     if (ways.out.empty()) fs::remove_all(folder);
     return ran;
   };
-  run_seeds(seeds.first, seeds.last, ways.real ? 1 : ways.jobs, run, [&](Ran&& ran) {
+  run_seeds(seeds.first, seeds.last, ways.real ? 1 : ways.jobs, run, [&](RunResult&& ran) {
     set.add(ran);
     if (keep) {
       const std::string base = file_name(set) + "-" + std::to_string(ran.seed);
@@ -212,7 +212,7 @@
   std::vector<std::thread> threads;
   for (unsigned i = 0; i < (ways.real ? 1 : ways.jobs); ++i) threads.emplace_back(work);
   for (std::thread& t : threads) t.join();
-  if (!failed.empty()) throw BadFile(failed);
+  if (!failed.empty()) throw InputError(failed);
   for (const auto& [seed, one] : outcomes) {
     ++runs;
     looks += one.looks;
@@ -384,7 +384,7 @@
 int leases(Seeds seeds, const RunWays& ways, const std::string& only) {
   const auto& kinds = lease_troubles();
   if (!only.empty() && std::find(kinds.begin(), kinds.end(), only) == kinds.end())
-    throw BadFile("leases: there is no trouble '" + only + "'");
+    throw InputError("leases: there is no trouble '" + only + "'");
   std::uint64_t acts = 0, refused = 0, broken = 0, runs = 0;
   double asked = 0;
   std::map<std::string, std::vector<double>> by_trouble;
@@ -545,7 +545,7 @@
   try {
     return sets_of(nlohmann::json::parse(text)).at(0);
   } catch (const std::exception&) {
-    throw BadFile("--base: '" + program + "' does not print results of this form");
+    throw InputError("--base: '" + program + "' does not print results of this form");
   }
 }
 
@@ -555,7 +555,7 @@
   ways.jobs = jobs;
   const Experiment e = read(file, variant);
   const bool program = base.find('/') != base.npos;
-  if (program && access(base.c_str(), X_OK) != 0) throw BadFile("--base: '" + base + "' is no program");
+  if (program && access(base.c_str(), X_OK) != 0) throw InputError("--base: '" + base + "' is no program");
   const RunSet before = program ? run_program(base, file, seeds, jobs)
                                 : run_set(read(file, base == "file" ? "" : base), base, seeds, ways);
   const RunSet now = run_set(e, variant.empty() ? "file" : variant, seeds, ways);
@@ -591,10 +591,10 @@
   });
   if (isatty(2)) std::fprintf(stderr, "\n");
   if (!left) return std::printf("seed %llu breaks no rule\n", static_cast<unsigned long long>(seed)), 0;
-  const std::vector<Fault> all = draw_faults(e.faults, e.fleet, e.lasts, seed);
+  const std::vector<Fault> all = draw_faults(e.faults, e.fleet, e.duration, seed);
   std::printf("%zu of %zu faults still break it:\n", left->size(), all.size());
   for (const std::size_t i : *left) std::printf("  %s\n", to_text(all[i], e.fleet).c_str());
-  const Ran ran = run_virtual(e, seed, {}, *left);
+  const RunResult ran = run_virtual(e, seed, {}, *left);
   for (const Violation& v : ran.outcome.violations)
     std::printf("broken: rule=%s seed=%llu at=%.3fs session=%016llx: %s\n", name_of(v.rule),
                 static_cast<unsigned long long>(seed), static_cast<double>(v.at.count()) / 1e6,
@@ -604,7 +604,7 @@
 
 int report(const fs::path& folder) {
   std::vector<fs::path> files;
-  if (!fs::is_directory(folder)) throw BadFile(folder.string() + ":0: folder: is not there");
+  if (!fs::is_directory(folder)) throw InputError(folder.string() + ":0: folder: is not there");
   for (const auto& f : fs::directory_iterator(folder))
     if (f.path().extension() == ".json") files.push_back(f.path());
   std::sort(files.begin(), files.end());
@@ -614,10 +614,10 @@
       std::ifstream in(f);
       for (RunSet& s : sets_of(nlohmann::json::parse(in))) sets.push_back(std::move(s));
     } catch (const nlohmann::json::exception& e) {
-      throw BadFile(f.string() + ":1: file: is not the result of a run");
+      throw InputError(f.string() + ":1: file: is not the result of a run");
     }
   }
-  if (sets.empty()) throw BadFile(folder.string() + ":0: folder: holds no results");
+  if (sets.empty()) throw InputError(folder.string() + ":0: folder: holds no results");
   std::stable_sort(sets.begin(), sets.end(), [](const RunSet& a, const RunSet& b) {
     const auto plain = [](const RunSet& s) {
       return s.title == "random" || s.title == "round-robin" || s.title == "least-connections";
@@ -630,7 +630,8 @@
 }
 
 int list(const std::string& folder) {
-  std::printf("%-22s %s\n", "(built in)", Experiment::of_text(kBuiltinDay, "built-in day").about.c_str());
+  std::printf("%-22s %s\n", "(built in)",
+              Experiment::from_text(kBuiltinExperiment, "built-in day").about.c_str());
   std::vector<fs::path> files;
   if (fs::is_directory(folder))
     for (const auto& f : fs::directory_iterator(folder))
@@ -641,14 +642,14 @@
       std::printf("%-22s %s\n", f.string().c_str(), RigPlan::of_file(f.string()).about.c_str());
       continue;
     }
-    const Experiment e = Experiment::of_file(f.string());
+    const Experiment e = Experiment::from_file(f.string());
     std::printf("%-22s %s", f.string().c_str(), e.about.c_str());
     for (const std::string& v : e.variants) std::printf(" [%s]", v.c_str());
     std::printf("\n");
   }
   std::printf("\nfaults:\n");
   for (const FaultKind& k : fault_kinds())
-    std::printf("  %-15s %s%s\n", k.name, k.does, k.virtual_only ? " (virtual network only)" : "");
+    std::printf("  %-15s %s%s\n", k.name, k.description, k.virtual_only ? " (virtual network only)" : "");
   std::printf("\ntroubles of the fleet's view:\n");
   for (const RigKind& k : rig_kinds())
     std::printf("  %-15s %s%s\n", k.name, k.does, k.virtual_only ? " (virtual time only)" : "");
@@ -821,7 +822,7 @@
                      ways.jobs);
     if (*shrink_command) return shrink_run(file, variant, seed, ways.jobs);
     return report(folder);
-  } catch (const BadFile& e) {
+  } catch (const InputError& e) {
     std::fprintf(stderr, "flintweir-lab: %s\n", e.what());
     return 2;
   } catch (const std::exception& e) {
--- a/src/lab/checks/checker.cpp
+++ b/src/lab/checks/checker.cpp
@@ -47,14 +47,14 @@
 
 // The round-trip time of the network that is allowed on top of a limit.
 Micros Checker::network_allowance(const Session& session, const Dial* dial) const {
-  const MachineNo node = nodes_.at(session.node.value).machine;
+  const MachineId node = nodes_.at(session.node.value).machine;
   Micros out = kSocketAllowance + 2 * paths_.max_delay(session.client, node);
   if (dial) out += 2 * paths_.max_delay(node, hosts_.at(dial->host.value).machine);
   return out;
 }
 
 bool Checker::healthy_since(const Session& session, const Dial* dial, Micros since) const {
-  const MachineNo node = nodes_.at(session.node.value).machine;
+  const MachineId node = nodes_.at(session.node.value).machine;
   return paths_.healthy_since(session.client, node, since) &&
          (!dial || paths_.healthy_since(node, hosts_.at(dial->host.value).machine, since));
 }
@@ -73,7 +73,7 @@
   }
 }
 
-void Checker::host_up(HostNo host, MachineNo machine, const std::string& name, ZoneNo zone, CellId cell,
+void Checker::host_up(HostNo host, MachineId machine, const std::string& name, ZoneId zone, CellId cell,
                       Micros boot_time) {
   Host& host_state = hosts_[host.value];
   const Micros silent_until = host_state.silent_until;
@@ -126,7 +126,7 @@
   host_state.cold_dials.push_back({now, load, informed});
 }
 
-void Checker::host_listed(NodeNo node, MachineNo list_machine, HostNo host, HostStatus status,
+void Checker::host_listed(NodeNo node, MachineId list_machine, HostNo host, HostStatus status,
                           Micros boot_time, Micros now) {
   Node& node_state = nodes_[node.value];
   Node::BootReport& last = node_state.boot_reports[host.value];
@@ -138,7 +138,7 @@
     node_state.unavailable_hosts.emplace(host.value, Node::UnavailableHost{now, list_machine, now});
 }
 
-void Checker::host_listing_due(NodeNo node, MachineNo list_machine, HostNo host, HostStatus status,
+void Checker::host_listing_due(NodeNo node, MachineId list_machine, HostNo host, HostStatus status,
                                Micros published_at, Micros deadline) {
   Node& node_state = nodes_[node.value];
   Node::BootReport& last = node_state.boot_reports[host.value];
@@ -152,7 +152,7 @@
                                          Node::UnavailableHost{deadline, list_machine, published_at});
 }
 
-void Checker::session_requested(SessionNo id, NodeNo node, MachineNo client, const Listener& listener,
+void Checker::session_requested(SessionNo id, NodeNo node, MachineId client, const Listener& listener,
                                 Micros answer_timeout, Micros now) {
   Session& session = sessions_[id.value];
   session.node = node;
@@ -381,7 +381,7 @@
   if (!dial || dial->closed) return;
   dial->closed = true;
   if (dial->superseded_at != Micros{0}) {
-    const MachineNo node = nodes_[session->node.value].machine, host = hosts_[dial->host.value].machine;
+    const MachineId node = nodes_[session->node.value].machine, host = hosts_[dial->host.value].machine;
     if (now - dial->superseded_at > kSocketAllowance + 2 * paths_.max_delay(node, host) && !session->exempt &&
         paths_.healthy_since(node, host, dial->superseded_at) &&
         responsive_since(dial->host, dial->superseded_at))
--- a/src/lab/checks/checker.h
+++ b/src/lab/checks/checker.h
@@ -43,10 +43,10 @@
 class NetworkPaths {
  public:
   // The longest one-way delay.
-  virtual Micros max_delay(MachineNo a, MachineNo b) const = 0;
+  virtual Micros max_delay(MachineId a, MachineId b) const = 0;
   // True if no network fault has affected either direction since then, and data lost before that has had time
   // to be retransmitted.
-  virtual bool healthy_since(MachineNo a, MachineNo b, Micros since) const = 0;
+  virtual bool healthy_since(MachineId a, MachineId b, Micros since) const = 0;
 
  protected:
   ~NetworkPaths() = default;
@@ -62,17 +62,17 @@
   Checker(const NetworkPaths& paths, const HostPlan& hosts, bool only_draining_binds, unsigned max_dials,
           std::function<void(const Violation&)> on_violation)
       : paths_(paths),
-        drain_grace_(hosts.grace),
+        drain_grace_(hosts.drain_grace),
         only_draining_binds_(only_draining_binds),
         max_dials_(max_dials),
         on_violation_(std::move(on_violation)) {}
 
   // Starts and ends of nodes and hosts. The sessions of a node that goes down are exempt from the rules, and
   // the connections of a host that goes down are closed.
-  void node_up(NodeNo node, MachineNo machine) { nodes_[node.value] = {machine, true, {}, {}}; }
+  void node_up(NodeNo node, MachineId machine) { nodes_[node.value] = {machine, true, {}, {}}; }
   void node_down(NodeNo node);
   // `boot_time` is zero for a host that was warm when the run began.
-  void host_up(HostNo host, MachineNo machine, const std::string& name, ZoneNo zone, CellId cell,
+  void host_up(HostNo host, MachineId machine, const std::string& name, ZoneId zone, CellId cell,
                Micros boot_time);
   void host_down(HostNo host, Micros now);
   // The host stops answering anything, or answers again.
@@ -80,15 +80,15 @@
   // A cold host has become overloaded.
   void host_overloaded(HostNo host, Micros now);
   // Discovery, on `list_machine`, has written an answer with this entry to the node.
-  void host_listed(NodeNo node, MachineNo list_machine, HostNo host, HostStatus status, Micros boot_time,
+  void host_listed(NodeNo node, MachineId list_machine, HostNo host, HostStatus status, Micros boot_time,
                    Micros now);
   // The node is expected to know, from `deadline` on, a change that discovery published at `published_at`,
   // whether or not it was sent.
-  void host_listing_due(NodeNo node, MachineNo list_machine, HostNo host, HostStatus status,
+  void host_listing_due(NodeNo node, MachineId list_machine, HostNo host, HostStatus status,
                         Micros published_at, Micros deadline);
 
   // Events at a client.
-  void session_requested(SessionNo id, NodeNo node, MachineNo client, const Listener& listener,
+  void session_requested(SessionNo id, NodeNo node, MachineId client, const Listener& listener,
                          Micros answer_timeout, Micros now);
   void session_answered(SessionNo id, Answer answer, std::string_view receipt, Micros now);
   void client_sent_line(SessionNo id, std::uint64_t line, Micros now);
@@ -133,7 +133,7 @@
   };
   struct Session {
     NodeNo node;
-    MachineNo client;
+    MachineId client;
     Listener listener;
     Micros requested_at{0}, answer_timeout{0};
     Answer answer = Answer::none;
@@ -148,11 +148,11 @@
     std::set<Rule> reported;
   };
   struct Node {
-    MachineNo machine;
+    MachineId machine;
     bool up = false;
     struct UnavailableHost {
       Micros informed_at;      // from then on, the node has to know
-      MachineNo list_machine;  // discovery's
+      MachineId list_machine;  // discovery's
       Micros path_since;  // the rule holds only if the path from `list_machine` has been healthy since then
     };
     std::map<std::uint32_t, UnavailableHost> unavailable_hosts;  // by host
@@ -162,9 +162,9 @@
     std::map<std::uint32_t, BootReport> boot_reports;  // by host
   };
   struct Host {
-    MachineNo machine;
+    MachineId machine;
     std::string name;
-    ZoneNo zone;
+    ZoneId zone;
     CellId cell;
     bool up = false, silent = false;
     Micros silent_until{0};  // end of the latest silence
--- a/src/lab/checks/interleaving.cpp
+++ b/src/lab/checks/interleaving.cpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <string_view>
 
-#include "lab/network/fabric.h"
+#include "lab/network/virtual_network.h"
 #include "net/log.h"
 #include "net/stream.h"
 #include "node/node.h"
@@ -69,10 +69,10 @@
 
 // A machine with one process, which can accept connections.
 struct TestMachine final : net::AcceptEvents {
-  TestMachine(Fabric& fabric, MachineNo machine_no)
-      : machine(machine_no), process(fabric, machine_no, 1000), sockets(process, 1000) {}
+  TestMachine(VirtualNetwork& network, MachineId machine_no)
+      : machine(machine_no), process(network, machine_no, 1000), sockets(process, 1000) {}
   void listen() {
-    process.listen(Fabric::address(machine, 8081));
+    process.listen(VirtualNetwork::address(machine, 8081));
     process.wait_accept(*this);
   }
   void connection_pending() override {
@@ -85,7 +85,7 @@
     }
     process.wait_accept(*this);
   }
-  MachineNo machine;
+  MachineId machine;
   Process process;
   net::Sockets sockets;
   std::list<TestConnection> connections;
@@ -97,12 +97,12 @@
  public:
   explicit InterleavingRun(const Interleaving& interleaving)
       : interleaving_(interleaving),
-        timeline_(kStart),
-        fabric_(timeline_, Carriage{kLinkDelay, kHostLinkDelay, {}, 0, 64 << 10, 0}, interleaving.seed),
-        node_machine_(fabric_.add_machine({0})),
-        client_(fabric_, fabric_.add_machine({0})),
-        hosts_{{fabric_, fabric_.add_machine({1})}, {fabric_, fabric_.add_machine({1})}},
-        lists_{{fabric_, fabric_.add_machine({0})}, {fabric_, fabric_.add_machine({0})}},
+        event_queue_(kStart),
+        network_(event_queue_, LinkModel{kLinkDelay, kHostLinkDelay, {}, 0, 64 << 10, 0}, interleaving.seed),
+        node_machine_(network_.add_machine({0})),
+        client_(network_, network_.add_machine({0})),
+        hosts_{{network_, network_.add_machine({1})}, {network_, network_.add_machine({1})}},
+        lists_{{network_, network_.add_machine({0})}, {network_, network_.add_machine({0})}},
         run_end_(kStart + (interleaving.stream == Interleaving::Stream::list ? kListRunTime : kRunTime)) {
     net::set_log_sink(this);
     for (std::size_t i = 0; i < 2; ++i) {
@@ -111,7 +111,7 @@
       hosts_[i].listen();
       lists_[i].listen();
     }
-    process_ = std::make_unique<Process>(fabric_, node_machine_, 1000);
+    process_ = std::make_unique<Process>(network_, node_machine_, 1000);
     node_ = std::make_unique<node::Node>(*process_, *node::NodeConfig::from_text(config(0)));
     node_->serve();
   }
@@ -125,13 +125,13 @@
     watch_process();
     if (interleaving_.stream == Interleaving::Stream::list) {
       for (Micros at = kStart + 500ms; at < run_end_ - 3s; at += 200ms)
-        timeline_.at(at, [this] { start_client(); });
+        event_queue_.schedule_at(at, [this] { start_client(); });
     } else {
-      timeline_.at(kStart + 100ms, [this] { start_client(); });
+      event_queue_.schedule_at(kStart + 100ms, [this] { start_client(); });
       // A client that comes after the event has to be served as usual.
-      timeline_.at(run_end_ - 3s, [this] { start_client(); });
+      event_queue_.schedule_at(run_end_ - 3s, [this] { start_client(); });
     }
-    timeline_.run_until(run_end_);
+    event_queue_.run_until(run_end_);
     check_results();
     return violations_;
   }
@@ -150,7 +150,7 @@
   };
 
   void write_line(const char*) override {}
-  Micros now() const { return timeline_.now(); }
+  Micros now() const { return event_queue_.now(); }
   void report(const std::string& rule, const std::string& what) {
     violations_.push_back(rule + ": at " + std::to_string((now() - kStart).count()) + " us: " + what);
   }
@@ -162,8 +162,8 @@
         {"dialTimeout", 2'000'000}, {"effect", interleaving_.once ? "once" : "repeatable"},
         {"group", "all"},           {"utility", 2}};
     return nlohmann::json{{"name", "n"},
-                          {"listen", to_text(Fabric::address(node_machine_, 8081))},
-                          {"discovery", to_text(Fabric::address(lists_[list].machine, 8081))},
+                          {"listen", to_text(VirtualNetwork::address(node_machine_, 8081))},
+                          {"discovery", to_text(VirtualNetwork::address(lists_[list].machine, 8081))},
                           {"seed", std::to_string(interleaving_.seed)},
                           {"limits", {{"memory_mb", 64}, {"sockets", 256}}},
                           {"known", {{"rev", 1}, {"all", true}, {"targets", {target(0), target(1)}}}},
@@ -187,7 +187,7 @@
   }
   nlohmann::json host_entry(std::size_t host, const char* state) const {
     return {{"uid", host ? "s-b" : "s-a"},
-            {"endpoint", to_text(Fabric::address(hosts_[host].machine, 8081))},
+            {"endpoint", to_text(VirtualNetwork::address(hosts_[host].machine, 8081))},
             {"az", "a"},
             {"pod_group", 1},
             {"state", state},
@@ -202,7 +202,7 @@
       report("stop", "the node still runs");
       stopped_at_.reset();
     }
-    timeline_.after(10ms, [this] { watch_process(); });
+    event_queue_.schedule_after(10ms, [this] { watch_process(); });
   }
 
   // Sends the text up to the cut, triggers the event, then sends the rest.
@@ -213,19 +213,19 @@
     const auto rest = [send, rest = std::string(text.substr(cut_at))] { send(rest); };
     using Event = Interleaving::Event;
     if (!interleaving_.busy) {
-      timeline_.after(kPause, [this] { trigger_event(); });
+      event_queue_.schedule_after(kPause, [this] { trigger_event(); });
       if (interleaving_.event != Event::silence)
-        timeline_.after(interleaving_.event == Event::late ? kLateDelay : 2 * kPause, rest);
+        event_queue_.schedule_after(interleaving_.event == Event::late ? kLateDelay : 2 * kPause, rest);
       return;
     }
     // A connection to a host is established before the event; the node is notified of both together.
-    timeline_.after(kPause, [this] { process_->freeze(true); });
-    timeline_.after(kBusyTime - 2 * kPause, [this, rest] {
+    event_queue_.schedule_after(kPause, [this] { process_->freeze(true); });
+    event_queue_.schedule_after(kBusyTime - 2 * kPause, [this, rest] {
       trigger_event();
       if (interleaving_.event != Event::silence)
-        timeline_.after(interleaving_.event == Event::late ? kLateDelay : kPause, rest);
+        event_queue_.schedule_after(interleaving_.event == Event::late ? kLateDelay : kPause, rest);
     });
-    timeline_.after(kBusyTime, [this] { process_->freeze(false); });
+    event_queue_.schedule_after(kBusyTime, [this] { process_->freeze(false); });
   }
 
   void trigger_event() {
@@ -286,7 +286,7 @@
   Micros busy_delay() const { return interleaving_.busy ? 2 * kPause + 1us : 0us; }
   // A process without processor time handles a signal when it runs again.
   void deliver_signal(std::function<void()> handler) {
-    timeline_.after(busy_delay(), [this, handler = std::move(handler)] {
+    event_queue_.schedule_after(busy_delay(), [this, handler = std::move(handler)] {
       if (process_->running()) handler();
     });
   }
@@ -317,7 +317,7 @@
       }
       if (client.connection.closed && client.connection.stream.open()) client.connection.stream.close();
     };
-    client.connection.stream.connect(Fabric::address(node_machine_, 8081), client.connection);
+    client.connection.stream.connect(VirtualNetwork::address(node_machine_, 8081), client.connection);
   }
 
   Client* find_client(const std::string& request) {
@@ -351,7 +351,7 @@
                                  sent = std::make_shared<std::size_t>(0)](std::string_view part) {
       connection.send(part);
       if ((*sent += part.size()) == kHostText.size())
-        timeline_.after(kLinkDelay, [&connection] { connection.stream.shutdown_send(); });
+        event_queue_.schedule_after(kLinkDelay, [&connection] { connection.stream.shutdown_send(); });
     };
     if (client->number == 1 && interleaving_.stream == Interleaving::Stream::host)
       return send_cut(kHostText, interleaving_.byte, send_and_close);
@@ -369,7 +369,7 @@
       // watch fell silent, or 2 s after its timeout if that is later.
       const Micros deadline = std::max(now() + 400ms + kChangeDeadline, now() + watch_timeout(call) + 2s);
       call.received.clear();
-      timeline_.after(400ms, [this, &call, deadline] {
+      event_queue_.schedule_after(400ms, [this, &call, deadline] {
         host_draining_ = true;
         if (!drain_deadline_) drain_deadline_ = deadline;
         send_cut(list_response(0), interleaving_.byte, [&call](std::string_view part) { call.send(part); });
@@ -391,7 +391,7 @@
     if (interleaving_.event < Event::turned_away) return false;
     const Micros delay = 7ms * static_cast<std::int64_t>(interleaving_.byte);
     if (!std::exchange(cut_done_, true)) {
-      timeline_.after(delay, [this, &call, delay] {
+      event_queue_.schedule_after(delay, [this, &call, delay] {
         fault_ends_at_ = now() + kFaultTime;
         host_draining_ = interleaving_.event != Event::away;
         if (host_draining_)
@@ -405,7 +405,7 @@
         if (interleaving_.event == Event::away) {
           for (TestConnection& connection : lists_[0].connections) connection.stream.abort();
           lists_[0].process.stop_listening();
-          timeline_.after(kAwayTime, [this] {
+          event_queue_.schedule_after(kAwayTime, [this] {
             lists_[0].listen();
             host_draining_ = true;
             drain_deadline_ = now() + kChangeDeadline;
@@ -420,7 +420,7 @@
     if (!fault_ends_at_ || now() >= *fault_ends_at_ || interleaving_.event == Event::away) return false;
     if (interleaving_.event == Event::turned_away) reject(call);
     if (interleaving_.event == Event::queued)
-      timeline_.after(kQueueTime, [this, list, &call] { send_list(list, call); });
+      event_queue_.schedule_after(kQueueTime, [this, list, &call] { send_list(list, call); });
     return true;
   }
   void reject(TestConnection& call) {
@@ -493,9 +493,9 @@
   }
 
   Interleaving interleaving_;
-  Timeline timeline_;
-  Fabric fabric_;
-  MachineNo node_machine_;
+  EventQueue event_queue_;
+  VirtualNetwork network_;
+  MachineId node_machine_;
   TestMachine client_;
   TestMachine hosts_[2], lists_[2];
   Micros run_end_;
--- a/src/lab/world.h
+++ b/src/lab/experiment_run.h
@@ -1,4 +1,5 @@
-// One run of an experiment on a stage: fleet, clients, discovery, fronts and faults, watched by the checker.
+// One run of an experiment on a environment: fleet, clients, discovery, fronts and faults, watched by the
+// checker.
 #pragma once
 
 #include <memory>
@@ -11,7 +12,7 @@
 #include "lab/models/list_server.h"
 #include "lab/models/network_client.h"
 #include "lab/models/node_health_check.h"
-#include "lab/network/stage.h"
+#include "lab/network/environment.h"
 #include "lab/reports/event_log.h"
 #include "lab/reports/meter.h"
 
@@ -31,20 +32,20 @@
   std::string log;  // where it was to be kept
 };
 
-class World final : ClientEnvironment, SessionRegistry {
+class ExperimentRun final : ClientEnvironment, SessionRegistry {
  public:
   // `faults` as drawn, or a part of them.
-  World(const Experiment& experiment, Stage& stage, std::uint64_t seed, const std::vector<Fault>& faults,
-        bool keep_log);
-  ~World();
-  Outcome play();
+  ExperimentRun(const Experiment& experiment, Environment& environment, std::uint64_t seed,
+                const std::vector<Fault>& faults, bool keep_log);
+  ~ExperimentRun();
+  Outcome execute();
 
  private:
   struct HostUnit {
     HostNo no;
     std::string name;
-    MachineNo machine;
-    ZoneNo zone;
+    MachineId machine;
+    ZoneId zone;
     CellId cell;
     double capacity, share;
     std::unique_ptr<HostModel> model;
@@ -55,8 +56,8 @@
   };
   struct NodeUnit {
     NodeNo no;
-    MachineNo machine, list_machine;
-    ZoneNo zone;
+    MachineId machine, list_machine;
+    ZoneId zone;
     std::uint64_t seed = 0, turn = 0;
     net::Network* list_network = nullptr;
     std::unique_ptr<ListServer> list;
@@ -64,18 +65,18 @@
     bool up = false, lost = false, leaving = false;
   };
   struct Crowd {  // the clients of a zone, on a machine of their own
-    MachineNo machine;
+    MachineId machine;
     std::unique_ptr<net::Sockets> sockets;
     std::unique_ptr<net::TimerQueue> timers;
   };
 
-  std::optional<Route> choose_node(ZoneNo zone) override;
+  std::optional<Route> choose_node(ZoneId zone) override;
   SessionNo register_session(const ClientModel::Session& session) override;
   Second& current_second() override;
   Tally& tally() override { return out_.tally; }
   const SessionLoad* find_session(SessionNo id) const override;
 
-  Micros now() const { return stage_.now(); }
+  Micros now() const { return environment_.now(); }
   Micros since_start() const { return now() - start_; }
   double uniform() { return std::generate_canonical<double, 32>(chance_); }
   Micros between(const Micros (&range)[2]);
@@ -92,7 +93,7 @@
   void await_exit(NodeUnit& n);
   void begin(const Fault& f);
   void end(const Fault& f, std::uint64_t turn);
-  void cut(const std::string& kind, ZoneNo zone, bool on);
+  void cut(const std::string& kind, ZoneId zone, bool on);
   void worsen(const Fault& f, bool on);
   void shrink_list(const Fault& f);
   unsigned* list_trouble(const std::string& kind);  // none: it is no trouble of the list
@@ -101,7 +102,7 @@
   void tick();
 
   const Experiment& experiment_;
-  Stage& stage_;
+  Environment& environment_;
   std::uint64_t seed_;
   std::vector<Fault> faults_;
   std::knuth_b chance_;
--- a/src/lab/faults/builtin.h
+++ b/src/lab/faults/builtin_experiment.h
@@ -4,7 +4,7 @@
 
 namespace flintweir::lab {
 
-inline constexpr const char* kBuiltinDay = R"(
+inline constexpr const char* kBuiltinExperiment = R"(
 name = "first-day"
 about = "three nodes and eight hosts; a deploy, a host that dies, clients that all drop"
 lasts = "40s"
--- a/src/lab/faults/faults.cpp
+++ b/src/lab/faults/faults.cpp
@@ -10,9 +10,9 @@
 namespace flintweir::lab {
 namespace {
 
-std::string befalls(const std::string& kind) {
+std::string target_kind(const std::string& kind) {
   for (const FaultKind& k : fault_kinds())
-    if (kind == k.name) return k.befalls;
+    if (kind == k.name) return k.target_kind;
   return "";
 }
 
@@ -26,10 +26,10 @@
 }  // namespace
 
 std::string to_text(const Fault& f, const FleetPlan& fleet) {
-  const std::string who = name_of(befalls(f.kind), f.target, fleet);
+  const std::string who = name_of(target_kind(f.kind), f.target, fleet);
   char text[160];
   std::snprintf(text, sizeof text, "%.3f s: %s%s%s for %.3f s", seconds(f.at), f.kind.c_str(),
-                who.empty() ? "" : " ", who.c_str(), seconds(f.lasts));
+                who.empty() ? "" : " ", who.c_str(), seconds(f.duration));
   return text;
 }
 
@@ -38,17 +38,17 @@
   std::vector<Fault> out;
   for (const FaultPlan& p : plans) {
     // Each line of the file has chance of its own, so that one more changes nothing about the others.
-    std::knuth_b chance(static_cast<std::knuth_b::result_type>(part_seed(seed, 8, p.line) | 1));
+    std::knuth_b chance(static_cast<std::knuth_b::result_type>(derive_seed(seed, 8, p.index) | 1));
     const auto uniform = [&] { return std::generate_canonical<double, 32>(chance); };
-    const std::string what = befalls(p.kind);
+    const std::string what = target_kind(p.kind);
     std::uint32_t count = 1;
     if (what == "host") count = fleet.hosts;
     if (what == "node") count = fleet.nodes;
     if (what == "zone") count = static_cast<std::uint32_t>(fleet.zones.size());
     std::vector<std::uint32_t> all;
     for (std::uint32_t i = 0; i < count; ++i)
-      if (p.where.empty() || name_of(what, i, fleet) == p.where ||
-          (what == "host" && fleet.zones[fleet.zone_of_host(i)] == p.where))
+      if (p.target_name.empty() || name_of(what, i, fleet) == p.target_name ||
+          (what == "host" && fleet.zones[fleet.zone_of_host(i)] == p.target_name))
         all.push_back(i);
     for (std::size_t i = all.size(); i > 1; --i) std::swap(all[i - 1], all[chance() % i]);
     if (p.at) {
@@ -59,9 +59,9 @@
       const bool in_turn = p.kind == "hosts-deploy" || p.kind == "node-restarts";
       for (std::size_t i = 0; i < all.size(); ++i) {
         const Micros later =
-            in_turn ? p.lasts * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(all.size())
+            in_turn ? p.duration * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(all.size())
                     : Micros{0};
-        out.push_back({*p.at + later, p.kind, all[i], p.lasts, p.share, p.size});
+        out.push_back({*p.at + later, p.kind, all[i], p.duration, p.share, p.magnitude});
       }
       continue;
     }
@@ -72,8 +72,8 @@
         if (at >= seconds(lasts)) break;
         const double length = 0.5 + uniform();
         out.push_back({Micros{static_cast<std::int64_t>(at * 1e6)}, p.kind, target,
-                       Micros{static_cast<std::int64_t>(static_cast<double>(p.lasts.count()) * length)},
-                       p.share, p.size});
+                       Micros{static_cast<std::int64_t>(static_cast<double>(p.duration.count()) * length)},
+                       p.share, p.magnitude});
       }
     }
   }
--- a/src/lab/faults/faults.h
+++ b/src/lab/faults/faults.h
@@ -15,13 +15,13 @@
   Micros at;  // from the start
   std::string kind;
   std::uint32_t target;  // a host, node or zone; else zero
-  Micros lasts;
-  double share, size;
+  Micros duration;
+  double share, magnitude;
 };
 
 // The seed of one part of a run, such as its nth client. Neighbouring seeds of runs share none of them: with
 // sums of both, a run would have all but one of its clients from the run before.
-inline std::uint64_t part_seed(std::uint64_t seed, std::uint64_t part, std::uint64_t n = 0) {
+inline std::uint64_t derive_seed(std::uint64_t seed, std::uint64_t part, std::uint64_t n = 0) {
   return mix(mix(mix(seed + 0x9e3779b97f4a7c15ull) + part * 0xd1342543de82ef95ull) + n + 1);
 }
 
--- a/src/lab/faults/bad_file.h
+++ b/src/lab/faults/input_error.h
@@ -5,7 +5,7 @@
 
 namespace flintweir::lab {
 
-struct BadFile : std::runtime_error {
+struct InputError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
--- a/src/lab/fleet/change_rig.cpp
+++ b/src/lab/fleet/change_rig.cpp
@@ -6,7 +6,7 @@
 #include <set>
 
 #include "changes/datagram.h"
-#include "lab/faults/bad_file.h"
+#include "lab/faults/input_error.h"
 #include "lab/fleet/rig_loopback.h"
 #include "lab/fleet/rig_virtual.h"
 #include "numbers.h"
@@ -84,7 +84,7 @@
         began_(stage.now()) {
     const auto& all = change_troubles();
     if (!trouble.empty() && std::find(all.begin(), all.end(), trouble) == all.end())
-      throw BadFile("there is no trouble '" + trouble + "'");
+      throw InputError("there is no trouble '" + trouble + "'");
     out_.trouble = trouble.empty() ? all[chance_() % all.size()] : trouble;
     units_.resize(plan.nodes);
     stage_.on_sent = [this](RigPlace from, std::size_t bytes) {
@@ -196,7 +196,7 @@
   }
 
   template <class Of>
-  void ways(Of of, const Post& post) {
+  void ways(Of of, const DatagramFaults& post) {
     for (unsigned a = 0; a < plan_.nodes; ++a)
       for (unsigned b = 0; b < plan_.nodes; ++b)
         if (a != b && of(a, b)) stage_.way(a, b) = post;
@@ -204,7 +204,7 @@
 
   void begin() {
     const std::string& t = out_.trouble;
-    Post bad;
+    DatagramFaults bad;
     const unsigned half = plan_.nodes / 2;
     if (t == "crash" || t == "restart") {
       for (unsigned i = 0; i < plan_.nodes; ++i) {
@@ -222,18 +222,18 @@
           after(100ms, [this, i] { start(i); });
         });
     } else if (t == "cut" || t == "cut-one-way") {
-      bad.cut = true;
+      bad.blocked = true;
       ways([&](unsigned a,
                unsigned b) { return t == "cut" ? (a < half) != (b < half) : a < half && b >= half; },
            bad);
       // A second one, at either side; the larger number is everybody's in the end.
       after(plan_.lasts / 2, [this] { publish(text()); });
     } else if (t == "loss" || t == "mangled") {
-      bad.lost = t == "loss" ? 0.3 : 0.05;
+      bad.loss = t == "loss" ? 0.3 : 0.05;
       if (t == "mangled") {
-        bad.doubled = bad.old = 0.3;
-        bad.spoilt = 0.1;
-        bad.spread = 100ms;
+        bad.duplication = bad.replay = 0.3;
+        bad.corruption = 0.1;
+        bad.jitter = 100ms;
       }
       ways([](unsigned, unsigned) { return true; }, bad);
     } else if (t == "pause") {
@@ -269,7 +269,7 @@
   }
 
   void heal() {
-    ways([](unsigned, unsigned) { return true; }, Post());
+    ways([](unsigned, unsigned) { return true; }, DatagramFaults());
     for (unsigned i = 0; i < plan_.nodes; ++i) freeze(i, false);
   }
 
--- a/src/lab/fleet/change_rig.h
+++ b/src/lab/fleet/change_rig.h
@@ -35,7 +35,7 @@
 };
 
 const std::vector<std::string>& change_troubles();
-// `trouble`: one of those; empty: drawn by the seed. Throws BadFile where there is none of that name.
+// `trouble`: one of those; empty: drawn by the seed. Throws InputError where there is none of that name.
 ChangeOutcome play_changes(const ChangePlan& plan, RigStage& stage, std::uint64_t seed,
                            const std::string& trouble);
 
--- a/src/lab/fleet/hollow.cpp
+++ b/src/lab/fleet/hollow.cpp
@@ -11,7 +11,7 @@
 #include <random>
 #include <set>
 
-#include "lab/network/spawn.h"
+#include "lab/network/child_process.h"
 #include "net/kernel_network.h"
 #include "net/log.h"
 #include "net/null_network.h"
@@ -218,7 +218,7 @@
         << R"("reporting":{"fields":["util"]}}})";
     std::vector<std::string> words = program_;
     words.insert(words.end(), {"serve", "--config", base + ".json", "--operator", base + ".toml"});
-    processes_.push_back(std::make_unique<Child>(words, base + ".log"));
+    processes_.push_back(std::make_unique<ChildProcess>(words, base + ".log"));
   }
   void kill_real(unsigned r) {
     processes_[r].reset();
@@ -239,7 +239,7 @@
     std::vector<std::string> words = program_;
     words.insert(words.end(), {"change", "put", folder_ + "/change.toml", "--operator",
                                folder_ + "/real1.toml", "--at", to_text(place(0))});
-    publisher_ = std::make_unique<Child>(words, folder_ + "/put.log");
+    publisher_ = std::make_unique<ChildProcess>(words, folder_ + "/put.log");
     unsetenv("FLINTWEIR_TOKEN");
   }
 
@@ -363,8 +363,8 @@
   std::knuth_b chance_{7};
   std::map<Address, unsigned> numbers_;
   std::vector<std::unique_ptr<Member>> members_;
-  std::vector<std::unique_ptr<Child>> processes_;
-  std::unique_ptr<Child> publisher_;
+  std::vector<std::unique_ptr<ChildProcess>> processes_;
+  std::unique_ptr<ChildProcess> publisher_;
   std::vector<std::string> dead_, back_;
   std::map<std::string, unsigned> failed_by_, alive_by_;  // how many have said so since it was asked
   std::uint64_t all_sent_ = 0;
--- a/src/lab/fleet/rig.cpp
+++ b/src/lab/fleet/rig.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 #include <random>
 
-#include "lab/faults/bad_file.h"
+#include "lab/faults/input_error.h"
 #include "lab/fleet/rig_loopback.h"
 #include "lab/fleet/rig_virtual.h"
 #include "numbers.h"
@@ -146,7 +146,8 @@
     std::vector<RigTrouble> all, out;
     for (const RigTrouble& t : plan_.troubles)
       if (only_.empty() || t.kind == only_ || t.name == only_) all.push_back(t);
-    if (!only_.empty() && all.empty()) throw BadFile(plan_.name + ":1: there is no trouble '" + only_ + "'");
+    if (!only_.empty() && all.empty())
+      throw InputError(plan_.name + ":1: there is no trouble '" + only_ + "'");
     if (all.empty()) return out;
     const unsigned n = only_.empty() ? plan_.at_once : 1;
     for (unsigned i = 0; i < n; ++i) out.push_back(all[chance_() % all.size()]);
@@ -211,14 +212,14 @@
     after(lasts, [this, of] {
       for (unsigned a = 0; a < plan_.nodes; ++a)
         for (unsigned b = 0; b < plan_.nodes; ++b)
-          if (a != b && of(a, b)) stage_.way(a, b) = Post();
+          if (a != b && of(a, b)) stage_.way(a, b) = DatagramFaults();
     });
   }
   // A seed that stays where it is: where all had gone, whoever starts again could find nobody.
   unsigned stays() const { return seeds_.back().node; }
-  static Post cut() {
-    Post out;
-    out.cut = true;
+  static DatagramFaults cut() {
+    DatagramFaults out;
+    out.blocked = true;
     return out;
   }
   // Which part of a fleet cut in so many a node is in; the first has that share.
@@ -290,7 +291,9 @@
       const auto across = [in, one_way](unsigned a, unsigned b) {
         return one_way ? in[a] < in[b] : in[a] != in[b];
       };
-      const auto close = [this, across](Micros lasts) { treat(lasts, across, [](Post& p) { p = cut(); }); };
+      const auto close = [this, across](Micros lasts) {
+        treat(lasts, across, [](DatagramFaults& p) { p = cut(); });
+      };
       if (t.kind != "cut-flaps") {
         close(t.lasts);
       } else {
@@ -312,22 +315,22 @@
       excuse(who, true, true);
       treat(
           t.lasts, [who](unsigned, unsigned b) { return std::find(who.begin(), who.end(), b) != who.end(); },
-          [&](Post& p) {
-            p.lost = t.kind == "deaf" ? t.size : 0;
-            p.longer = t.kind == "slow" ? t.longer : 0us;
+          [&](DatagramFaults& p) {
+            p.loss = t.kind == "deaf" ? t.size : 0;
+            p.extra_delay = t.kind == "slow" ? t.longer : 0us;
           });
     } else if (t.kind == "loss") {
       // Few false verdicts are allowed past a fifth.
       if (t.size > 0.2) excuse(all(), true, true);
       treat(
-          t.lasts, [](unsigned, unsigned) { return true; }, [&](Post& p) { p.lost = t.size; });
+          t.lasts, [](unsigned, unsigned) { return true; }, [&](DatagramFaults& p) { p.loss = t.size; });
     } else if (t.kind == "mangled") {
       treat(
           t.lasts, [](unsigned, unsigned) { return true; },
-          [&](Post& p) {
-            p.doubled = p.old = t.size;
-            p.spoilt = t.size / 4;
-            p.spread = t.longer;
+          [&](DatagramFaults& p) {
+            p.duplication = p.replay = t.size;
+            p.corruption = t.size / 4;
+            p.jitter = t.longer;
           });
     } else if (t.kind == "fails-returns") {
       for (const unsigned i : some(0, 1)) {
--- a/src/lab/fleet/rig_loopback.cpp
+++ b/src/lab/fleet/rig_loopback.cpp
@@ -50,8 +50,8 @@
       const auto from = rig_.senders_.find(got.from);
       if (got.status != net::IoStatus::done || from == rig_.senders_.end()) continue;
       if (rig_.on_sent) rig_.on_sent(from->second, got.bytes);
-      const Post& way = rig_.way(from->second.node, of_.node);
-      for (auto& [in, copy] : carried(way, rig_.chance_, {bytes, got.bytes})) {
+      const DatagramFaults& way = rig_.way(from->second.node, of_.node);
+      for (auto& [in, copy] : delivered_copies(way, rig_.chance_, {bytes, got.bytes})) {
         if (in == 0us)
           network_.send_datagram(rig_.hears_at(of_), copy);
         else
@@ -174,7 +174,7 @@
       interval_(interval),
       program_(std::move(program)),
       folder_(std::move(folder)),
-      timeline_(clock_.now()),
+      event_queue_(clock_.now()),
       chance_(static_cast<std::knuth_b::result_type>(seed | 1)),
       ways_(std::size_t{nodes} * nodes) {
   std::signal(SIGPIPE, SIG_IGN);
@@ -197,10 +197,10 @@
 
 void RigLoopback::run_until(Micros end) {
   while (now() < end) {
-    timeline_.run_until(now());
+    event_queue_.run_until(now());
     clock_.run_for(std::min<Micros>(2ms, std::max(end - now(), 0us)));
   }
-  timeline_.run_until(now());
+  event_queue_.run_until(now());
 }
 
 std::string RigLoopback::file(RigPlace at, const char* ending) const {
@@ -231,7 +231,7 @@
   words.insert(words.end(), {"lease", "hold", lease, "--operator", file(at, ".toml"), "--from",
                              to_text(hears_at(at)), "--told", to_text(told_at(at)), "--"});
   words.insert(words.end(), command.begin(), command.end());
-  processes_[at] = std::make_unique<Child>(std::move(words), file(at, ".log"));
+  processes_[at] = std::make_unique<ChildProcess>(std::move(words), file(at, ".log"));
 }
 
 void RigLoopback::start(RigPlace at, const std::string& name, const std::vector<RigPlace>& seeds) {
@@ -255,7 +255,7 @@
       << R"("overloadFactor":3.0,"tipAfter":1500000},"prices":{"probe":0.002},"reporting":{"fields":["util"]}}})";
   std::vector<std::string> words = program_;
   words.insert(words.end(), {"serve", "--config", file(at, ".json"), "--operator", file(at, ".toml")});
-  processes_[at] = std::make_unique<Child>(std::move(words), file(at, ".log"));
+  processes_[at] = std::make_unique<ChildProcess>(std::move(words), file(at, ".log"));
 }
 
 void RigLoopback::kill(RigPlace at) { processes_.erase(at); }
--- a/src/lab/fleet/rig_loopback.h
+++ b/src/lab/fleet/rig_loopback.h
@@ -8,8 +8,8 @@
 #include <random>
 
 #include "lab/fleet/rig_stage.h"
-#include "lab/network/spawn.h"
-#include "lab/network/timeline.h"
+#include "lab/network/child_process.h"
+#include "lab/network/event_queue.h"
 #include "net/kernel_network.h"
 
 namespace flintweir::lab {
@@ -22,7 +22,7 @@
   ~RigLoopback() override;
 
   Micros now() const override { return clock_.now(); }
-  void at(Micros when, std::function<void()> act) override { timeline_.at(when, std::move(act)); }
+  void at(Micros when, std::function<void()> act) override { event_queue_.schedule_at(when, std::move(act)); }
   void run_until(Micros end) override;
   void start(RigPlace at, const std::string& name, const std::vector<RigPlace>& seeds) override;
   // Written behind [fleet] in every operator's file from now on.
@@ -38,7 +38,7 @@
   void reload(RigPlace at, const std::vector<RigPlace>& seeds) override;
   void set_clock_back(RigPlace, Micros) override {}
   bool running(RigPlace at) override;
-  Post& way(unsigned from, unsigned to) override { return ways_[from * nodes_ + to]; }
+  DatagramFaults& way(unsigned from, unsigned to) override { return ways_[from * nodes_ + to]; }
   Address hears_at(RigPlace at) const override;
   net::Network& onlooker() override { return onlooker_; }
   Address onlooker_at() const override;
@@ -62,15 +62,15 @@
   std::string folder_, more_;
   net::KernelNetwork clock_;
   net::KernelNetwork onlooker_{clock_};
-  Timeline timeline_;
+  EventQueue event_queue_;
   std::knuth_b chance_;
-  std::vector<Post> ways_;
+  std::vector<DatagramFaults> ways_;
   std::map<Address, RigPlace> senders_;
   std::map<RigPlace, std::unique_ptr<Relay>> relays_;
   std::uint64_t sessions_ = 0;  // begun by clients
   std::unique_ptr<Host> host_;
   std::vector<std::unique_ptr<Knock>> knocks_;
-  std::map<RigPlace, std::unique_ptr<Child>> processes_;
+  std::map<RigPlace, std::unique_ptr<ChildProcess>> processes_;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/fleet/rig_plan.cpp
+++ b/src/lab/fleet/rig_plan.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "lab/faults/fields.h"
+#include "lab/faults/table_reader.h"
 
 namespace flintweir::lab {
 
@@ -45,57 +45,57 @@
 namespace {
 
 // What a variant may set as well.
-void scale(Fields& f, RigPlan& plan) {
+void scale(TableReader& f, RigPlan& plan) {
   plan.nodes = f.count("nodes", plan.nodes, 1, 2000);
   plan.at_once = f.count("at_once", plan.at_once, 0, 16);
-  plan.starts = f.time("starts", plan.starts, 100ms);
-  plan.quiet = f.time("quiet", plan.quiet);
-  plan.settles = f.time("settles", plan.settles, 1s);
+  plan.starts = f.duration("starts", plan.starts, 100ms);
+  plan.quiet = f.duration("quiet", plan.quiet);
+  plan.settles = f.duration("settles", plan.settles, 1s);
 }
 
 RigPlan read(const toml::table& whole, const std::string& path, const std::string& variant) {
   RigPlan out;
-  Fields top(whole, "", path);
-  top.word("kind", "fleet", {"fleet"});
-  out.name = top.word("name", "");
-  if (out.name.empty()) top.bad("name", "is missing");
-  out.about = top.word("about", "");
+  TableReader top(whole, "", path);
+  top.string("kind", "fleet", {"fleet"});
+  out.name = top.string("name", "");
+  if (out.name.empty()) top.fail("name", "is missing");
+  out.about = top.string("about", "");
   out.seeds = top.count("seeds", 2, 1, 16);
-  out.interval = top.time("interval", 300ms, 50ms);
-  out.forgets = top.time("forgets", 60min, 1min);
+  out.interval = top.duration("interval", 300ms, 50ms);
+  out.forgets = top.duration("forgets", 60min, 1min);
   scale(top, out);
   RigPlan changed = out;
   bool found = variant.empty();
-  for (Fields& v : top.tables("variant")) {
-    const std::string name = v.word("name", "");
+  for (TableReader& v : top.tables("variant")) {
+    const std::string name = v.string("name", "");
     out.variants.push_back(name);
     const bool chosen = name == variant;
     found = found || chosen;
     RigPlan with = out;
     scale(v, with);
-    v.done();
+    v.reject_unknown_keys();
     if (chosen) changed = with;
   }
-  if (!found) throw BadFile(path + ":1: variant: there is no variant '" + variant + "'");
+  if (!found) throw InputError(path + ":1: variant: there is no variant '" + variant + "'");
   changed.variants = out.variants;
   out = changed;
   std::vector<std::string> kinds;
   for (const RigKind& k : rig_kinds()) kinds.emplace_back(k.name);
-  for (Fields& f : top.tables("trouble")) {
+  for (TableReader& f : top.tables("trouble")) {
     RigTrouble t;
-    t.kind = f.word("kind", "", kinds);
-    if (t.kind.empty()) f.bad("kind", "is missing");
-    t.name = f.word("name", t.kind);
+    t.kind = f.string("kind", "", kinds);
+    if (t.kind.empty()) f.fail("kind", "is missing");
+    t.name = f.string("name", t.kind);
     t.share = f.number("share", 0, 0, 1);
     t.size = f.number("size", 0, 0, 100000);
-    t.lasts = f.time("lasts", 3s);
-    t.longer = f.time("longer", 0us);
+    t.lasts = f.duration("lasts", 3s);
+    t.longer = f.duration("longer", 0us);
     t.parts = f.count("parts", 2, 2, 8);
-    t.one_way = f.yes("one_way", false);
-    f.done();
+    t.one_way = f.boolean("one_way", false);
+    f.reject_unknown_keys();
     out.troubles.push_back(t);
   }
-  top.done();
+  top.reject_unknown_keys();
   return out;
 }
 
@@ -105,8 +105,8 @@
   try {
     return read(toml::parse_file(path), path, variant);
   } catch (const toml::parse_error& e) {
-    throw BadFile(path + ":" + std::to_string(std::max<unsigned>(e.source().begin.line, 1)) +
-                  ": file: " + std::string(e.description()));
+    throw InputError(path + ":" + std::to_string(std::max<unsigned>(e.source().begin.line, 1)) +
+                     ": file: " + std::string(e.description()));
   }
 }
 
--- a/src/lab/fleet/rig_plan.h
+++ b/src/lab/fleet/rig_plan.h
@@ -29,7 +29,7 @@
 struct RigPlan {
   // True where the file is one for the rig: its `kind` is "fleet".
   static bool is_one(const std::string& path);
-  // Throws BadFile.
+  // Throws InputError.
   static RigPlan of_file(const std::string& path, const std::string& variant = "");
 
   std::string name, about;
--- a/src/lab/fleet/rig_stage.h
+++ b/src/lab/fleet/rig_stage.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/network/post.h"
+#include "lab/network/datagram_faults.h"
 #include "net/network.h"
 
 namespace flintweir::lab {
@@ -33,7 +33,7 @@
   virtual void set_clock_back(RigPlace at, Micros by) = 0;  // for what starts there next
   virtual bool running(RigPlace at) = 0;
   // What becomes of datagrams from one node to another, wherever they are.
-  virtual Post& way(unsigned from, unsigned to) = 0;
+  virtual DatagramFaults& way(unsigned from, unsigned to) = 0;
   // Where the process itself hears, past all relays.
   virtual Address hears_at(RigPlace at) const = 0;
   // For whoever looks on, with a post of its own.
--- a/src/lab/fleet/rig_virtual.cpp
+++ b/src/lab/fleet/rig_virtual.cpp
@@ -34,17 +34,18 @@
       seed_(seed),
       logged_(logged),
       plain_(plain),
-      timeline_(kStart),
-      fabric_(timeline_, Carriage(), seed),
+      event_queue_(kStart),
+      network_(event_queue_, LinkModel(), seed),
       ways_(std::size_t{nodes} * nodes) {
-  for (unsigned i = 0; i < nodes * kAddresses; ++i) fabric_.add_machine(ZoneNo{0});
-  onlooks_ = fabric_.add_machine(ZoneNo{0});
-  onlooker_ = std::make_unique<Process>(fabric_, onlooks_, 64);
-  fabric_.treat_post([this](MachineNo from, MachineNo to, std::size_t bytes) -> const Post* {
-    if (from == onlooks_ || to == onlooks_) return nullptr;
-    if (on_sent) on_sent({from.value % nodes_, from.value / nodes_}, bytes);
-    return &ways_[from.value % nodes_ * nodes_ + to.value % nodes_];
-  });
+  for (unsigned i = 0; i < nodes * kAddresses; ++i) network_.add_machine(ZoneId{0});
+  onlooks_ = network_.add_machine(ZoneId{0});
+  onlooker_ = std::make_unique<Process>(network_, onlooks_, 64);
+  network_.set_datagram_faults(
+      [this](MachineId from, MachineId to, std::size_t bytes) -> const DatagramFaults* {
+        if (from == onlooks_ || to == onlooks_) return nullptr;
+        if (on_sent) on_sent({from.value % nodes_, from.value / nodes_}, bytes);
+        return &ways_[from.value % nodes_ * nodes_ + to.value % nodes_];
+      });
   net::set_log_sink(this);
 }
 
@@ -54,7 +55,8 @@
 }
 
 void RigVirtual::write_line(const char* text) {
-  const std::uint32_t machine = called_ ? this->machine(*called_).value : fabric_.acting().value;
+  const std::uint32_t machine =
+      called_ ? this->machine(*called_).value : network_.last_active_machine().value;
   if (const auto it = units_.find({machine % nodes_, machine / nodes_}); it != units_.end())
     it->second.log.emplace_back(text);
   if (!logged_) return;
@@ -68,7 +70,7 @@
     for (const std::string& text : unit.log) line(at, text);
 }
 
-Address RigVirtual::hears_at(RigPlace at) const { return Fabric::address(machine(at), kPort); }
+Address RigVirtual::hears_at(RigPlace at) const { return VirtualNetwork::address(machine(at), kPort); }
 
 setup::FleetSection RigVirtual::section(RigPlace at, const std::vector<RigPlace>& seeds) const {
   setup::FleetSection out{"lab", "", hears_at(at), hears_at(at), {}, interval_, forgets_, 4096};
@@ -79,10 +81,10 @@
 void RigVirtual::start_bare(RigPlace at) {
   units_.erase(at);
   Unit& u = units_[at];
-  u.process = std::make_unique<Process>(fabric_, machine(at), 64);
+  u.process = std::make_unique<Process>(network_, machine(at), 64);
   if (const auto back = clocks_back_.find(at); back != clocks_back_.end())
-    u.process->set_clock_back(back->second);
-  if (const auto rate = rates_.find(at); rate != rates_.end()) u.process->set_rate(rate->second);
+    u.process->set_clock_lag(back->second);
+  if (const auto rate = rates_.find(at); rate != rates_.end()) u.process->set_clock_rate(rate->second);
   u.timers = std::make_unique<net::TimerQueue>(*u.process);
 }
 
@@ -111,7 +113,7 @@
   called_ = at;
   if (it->second.peers) it->second.peers->leave();
   called_.reset();
-  timeline_.after(2200ms, [this, at, start = it->second.start] {
+  event_queue_.schedule_after(2200ms, [this, at, start = it->second.start] {
     if (const auto now = units_.find(at); now != units_.end() && now->second.start == start) kill(at);
   });
 }
--- a/src/lab/fleet/rig_virtual.h
+++ b/src/lab/fleet/rig_virtual.h
@@ -7,7 +7,7 @@
 
 #include "lab/fleet/plain_peers.h"
 #include "lab/fleet/rig_stage.h"
-#include "lab/network/fabric.h"
+#include "lab/network/virtual_network.h"
 #include "net/log.h"
 #include "node/fleet_member.h"
 
@@ -21,9 +21,9 @@
              std::optional<PlainWay> plain = {});
   ~RigVirtual() override;
 
-  Micros now() const override { return timeline_.now(); }
-  void at(Micros when, std::function<void()> act) override { timeline_.at(when, std::move(act)); }
-  void run_until(Micros end) override { timeline_.run_until(end); }
+  Micros now() const override { return event_queue_.now(); }
+  void at(Micros when, std::function<void()> act) override { event_queue_.schedule_at(when, std::move(act)); }
+  void run_until(Micros end) override { event_queue_.run_until(end); }
   void start(RigPlace at, const std::string& name, const std::vector<RigPlace>& seeds) override;
   void kill(RigPlace at) override { units_.erase(at); }
   void leave(RigPlace at) override;
@@ -31,13 +31,13 @@
   void reload(RigPlace at, const std::vector<RigPlace>& seeds) override;
   void set_clock_back(RigPlace at, Micros by) override { clocks_back_[at] = by; }
   bool running(RigPlace at) override { return units_.contains(at); }
-  Post& way(unsigned from, unsigned to) override { return ways_[from * nodes_ + to]; }
+  DatagramFaults& way(unsigned from, unsigned to) override { return ways_[from * nodes_ + to]; }
   Address hears_at(RigPlace at) const override;
   net::Network& onlooker() override { return *onlooker_; }
   const char* fleet() const override { return "lab"; }
   // Those that start from now on pass changes on. Their listeners are chat, and on even nodes even.
   void carry_changes() { carries_ = true; }
-  Address onlooker_at() const override { return Fabric::address(onlooks_, kPort); }
+  Address onlooker_at() const override { return VirtualNetwork::address(onlooks_, kPort); }
   void knock(RigPlace, std::function<void(bool)> answered) override { answered(true); }
   // Voters among the nodes that start from now on.
   void vote(const setup::LeasesSection& leases) { leases_ = leases; }
@@ -60,7 +60,7 @@
     std::vector<std::string> log;
     std::uint64_t start = 0;  // of this stage's
   };
-  MachineNo machine(RigPlace at) const { return MachineNo{at.address * nodes_ + at.node}; }
+  MachineId machine(RigPlace at) const { return MachineId{at.address * nodes_ + at.node}; }
   setup::FleetSection section(RigPlace at, const std::vector<RigPlace>& seeds) const;
   void write_line(const char* text) override;
 
@@ -70,10 +70,10 @@
   std::uint64_t seed_, starts_ = 0;
   std::string* logged_;
   std::optional<PlainWay> plain_;
-  Timeline timeline_;
-  Fabric fabric_;
-  std::vector<Post> ways_;
-  MachineNo onlooks_;
+  EventQueue event_queue_;
+  VirtualNetwork network_;
+  std::vector<DatagramFaults> ways_;
+  MachineId onlooks_;
   std::unique_ptr<Process> onlooker_;
   bool carries_ = false;
   std::optional<setup::LeasesSection> leases_;
--- a/src/lab/fleet/scale_node.cpp
+++ b/src/lab/fleet/scale_node.cpp
@@ -17,7 +17,7 @@
 #include <stdexcept>
 #include <thread>
 
-#include "lab/network/spawn.h"
+#include "lab/network/child_process.h"
 #include "lab/reports/meter.h"
 
 namespace flintweir::lab {
@@ -299,7 +299,7 @@
     std::ofstream(file, std::ios::trunc) << config(host_ip.c_str(), ip.c_str());
     std::vector<std::string> words = program;
     words.insert(words.end(), {"serve", "--config", file});
-    Child node(words, folder + "/scale.log");
+    ChildProcess node(words, folder + "/scale.log");
     for (int i = 0; i < 200; ++i) {
       std::this_thread::sleep_for(10ms);
       try {
--- a/src/lab/leases/lease_rig.cpp
+++ b/src/lab/leases/lease_rig.cpp
@@ -318,21 +318,21 @@
   void run(Micros in) { stage_.rig().run_until(stage_.rig().now() + in); }
   unsigned holder() const { return static_cast<unsigned>(std::max(ledger_.last().as, 0)); }
   // Of all ways between the holder and the voters.
-  void holders_ways(unsigned h, bool to, bool from, Post post) {
+  void holders_ways(unsigned h, bool to, bool from, DatagramFaults post) {
     for (unsigned v = 0; v < kVoters; ++v) {
       if (to) stage_.rig().way(v, kVoters + h) = post;
       if (from) stage_.rig().way(kVoters + h, v) = post;
     }
   }
-  void all_ways(Post post) {
+  void all_ways(DatagramFaults post) {
     for (unsigned a = 0; a < kVoters + stage_.holders(); ++a)
       for (unsigned b = 0; b < kVoters + stage_.holders(); ++b) stage_.rig().way(a, b) = post;
   }
 
   void trouble(const std::string& kind) {
     const unsigned h = holder();
-    Post cut;
-    cut.cut = true;
+    DatagramFaults cut;
+    cut.blocked = true;
     if (kind == "killed" || kind == "leaves") {
       kind == "killed" ? stage_.kill_holder(h) : stage_.leave(h);
       run(4s);
@@ -356,7 +356,7 @@
     } else if (kind == "cut" || kind == "cut-in" || kind == "cut-out") {
       holders_ways(h, kind != "cut-out", kind != "cut-in", cut);
       run(6s);
-      holders_ways(h, true, true, Post());
+      holders_ways(h, true, true, DatagramFaults());
     } else if (kind == "voters-restart" || kind == "majority-gone") {
       const unsigned n = kind == "voters-restart" ? kVoters : kVoters / 2 + 1;
       for (unsigned v = 0; v < n; ++v) stage_.rig().kill({v, 0});
@@ -382,22 +382,22 @@
       for (int i = 0; i < 8; ++i) {
         for (unsigned a = 0; a < kVoters + stage_.holders(); ++a)
           for (unsigned b = 0; b < kVoters + stage_.holders(); ++b)
-            stage_.rig().way(a, b) = side(a, i % 2 == 0) == side(b, i % 2 == 0) ? Post() : cut;
+            stage_.rig().way(a, b) = side(a, i % 2 == 0) == side(b, i % 2 == 0) ? DatagramFaults() : cut;
         run(1s);
       }
-      all_ways(Post());
+      all_ways(DatagramFaults());
     } else if (kind == "loss" || kind == "late") {
-      Post bad;
+      DatagramFaults bad;
       if (kind == "loss") {
-        bad.lost = 0.2;
+        bad.loss = 0.2;
       } else {
-        bad.doubled = bad.old = 0.3;
-        bad.old_by = 3s;
-        bad.spread = 300ms;
+        bad.duplication = bad.replay = 0.3;
+        bad.replay_delay = 3s;
+        bad.jitter = 300ms;
       }
       all_ways(bad);
       run(8s);
-      all_ways(Post());
+      all_ways(DatagramFaults());
     }
   }
 
--- a/src/lab/models/client_model.cpp
+++ b/src/lab/models/client_model.cpp
@@ -11,12 +11,12 @@
 
 Micros ClientModel::start() {
   state_ = State::idle;
-  return scaled(plan_.pause, uniform());
+  return scaled(plan_.mean_pause, uniform());
 }
 
 Micros ClientModel::on_session_end() {
   state_ = State::idle;
-  return scaled(plan_.pause, std::min(exponential(), 5.0));
+  return scaled(plan_.mean_pause, std::min(exponential(), 5.0));
 }
 
 void ClientModel::start_session(Micros now) {
@@ -30,8 +30,9 @@
     if (drawn < sum) break;
   }
   session_.group = group_;
-  session_.load = plan_.load * listener().load * (0.5 + uniform());
-  session_.wanted_until = now + scaled(plan_.life, listener().life * std::clamp(exponential(), 0.1, 4.0));
+  session_.load = plan_.mean_load * listener().load_factor * (0.5 + uniform());
+  session_.wanted_until =
+      now + scaled(plan_.mean_lifetime, listener().lifetime_factor * std::clamp(exponential(), 0.1, 4.0));
   retries_ = 0;
 }
 
@@ -60,7 +61,7 @@
   }
   state_ = State::connecting;
   session_.is_retry = true;
-  const Micros wait = scaled(plan_.retry_after, 0.5 + uniform());
+  const Micros wait = scaled(plan_.retry_delay, 0.5 + uniform());
   return honours_retry_after_ ? std::max(wait, scaled(retry_after, 1 + 0.2 * uniform())) : wait;
 }
 
@@ -70,7 +71,7 @@
   retries_ = 0;
   session_.is_retry = false;
   session_.is_reconnect = true;
-  return plan_.returns[0] + scaled(plan_.returns[1] - plan_.returns[0], uniform());
+  return plan_.reconnect_delay[0] + scaled(plan_.reconnect_delay[1] - plan_.reconnect_delay[0], uniform());
 }
 
 }  // namespace flintweir::lab
--- a/src/lab/models/client_model.h
+++ b/src/lab/models/client_model.h
@@ -23,7 +23,7 @@
 
   ClientModel(const TrafficPlan& plan, std::uint64_t key, std::uint64_t group, std::uint64_t seed)
       : plan_(plan), key_(key), group_(group), random_(static_cast<std::knuth_b::result_type>(seed | 1)) {
-    honours_retry_after_ = uniform() < plan.honours;
+    honours_retry_after_ = uniform() < plan.retry_after_compliance;
   }
 
   // The key in the OPEN line.
@@ -56,13 +56,14 @@
   Micros answer_timeout() const { return listener().rules.dial_timeout; }
   // How long the client waits before it leaves without an answer; none if it waits for the full timeout.
   std::optional<Micros> early_leave_delay() {
-    if (plan_.leaves == 0 || uniform() >= plan_.leaves) return std::nullopt;
+    if (plan_.early_leave_share == 0 || uniform() >= plan_.early_leave_share) return std::nullopt;
     return scaled(answer_timeout(), uniform());
   }
   double uniform() { return std::generate_canonical<double, 32>(random_); }
   double exponential() { return -std::log(1 - uniform()); }
   unsigned line_size() {
-    return plan_.line[0] + static_cast<unsigned>(uniform() * (plan_.line[1] - plan_.line[0] + 1));
+    return plan_.message_bytes[0] +
+           static_cast<unsigned>(uniform() * (plan_.message_bytes[1] - plan_.message_bytes[0] + 1));
   }
 
  private:
--- a/src/lab/models/front_model.h
+++ b/src/lab/models/front_model.h
@@ -13,8 +13,8 @@
 
 class FrontModel {
  public:
-  explicit FrontModel(std::vector<ZoneNo> zones_of_nodes) {
-    for (const ZoneNo zone : zones_of_nodes) nodes_.push_back({zone});
+  explicit FrontModel(std::vector<ZoneId> zones_of_nodes) {
+    for (const ZoneId zone : zones_of_nodes) nodes_.push_back({zone});
   }
   void check_succeeded(NodeNo node_no) {
     nodes_[node_no.value].in_rotation = true;
@@ -26,7 +26,7 @@
     if (node.in_rotation && !node.remove_at) node.remove_at = now + removal_delay;
   }
   // Round-robin over the nodes of the zone, or over all nodes if the zone has none in rotation.
-  std::optional<NodeNo> choose(ZoneNo zone, Micros now) {
+  std::optional<NodeNo> choose(ZoneId zone, Micros now) {
     for (const bool any_zone : {false, true}) {
       for (std::size_t i = 0; i < nodes_.size(); ++i) {
         const std::size_t index = (next_ + i) % nodes_.size();
@@ -43,7 +43,7 @@
 
  private:
   struct NodeState {
-    ZoneNo zone;
+    ZoneId zone;
     bool in_rotation = false;
     std::optional<Micros> remove_at{};
   };
--- a/src/lab/models/host_model.cpp
+++ b/src/lab/models/host_model.cpp
@@ -20,9 +20,10 @@
 }
 
 double HostModel::current_capacity(Micros now) const {
-  const double warm =
-      cold_start_ ? std::min(1.0, cold_.share + (1 - cold_.share) * ratio(now - started_, cold_.warm_within))
-                  : 1;
+  const double warm = cold_start_
+                          ? std::min(1.0, cold_.initial_share + (1 - cold_.initial_share) *
+                                                                    ratio(now - started_, cold_.warm_up))
+                          : 1;
   return capacity_ * warm * speed_;
 }
 
@@ -42,24 +43,26 @@
 HostModel::Response HostModel::handle_request(Micros now, double load) {
   advance(now);
   if (is_cold(now)) {
-    while (!recent_cold_load_.empty() && now - recent_cold_load_.front().first > cold_.tip_after)
+    while (!recent_cold_load_.empty() && now - recent_cold_load_.front().first > cold_.overload_window)
       recent_cold_load_.pop_front();
     recent_cold_load_.emplace_back(now, load);
     double sum = 0;
     for (const auto& [at, dial_load] : recent_cold_load_) sum += dial_load;
     const double share = current_capacity(now) / (capacity_ * speed_);
     // A single session never overloads a host, however heavy it is.
-    const double budget = cold_.multiple * share * full_rate_ * seconds(cold_.tip_after) + mean_load_;
+    const double budget =
+        cold_.overload_factor * share * full_rate_ * seconds(cold_.overload_window) + mean_load_;
     cold_load_ratio_ = sum / budget;
     if (cold_load_ratio_ > 1 && recent_cold_load_.size() > 1) overloaded_ = true;
   }
   if (hanging()) return {Answer::nothing, Micros{0}};
-  const Micros delay{plan_.answers[0] +
-                     Micros{static_cast<std::int64_t>(
-                         uniform() * static_cast<double>((plan_.answers[1] - plan_.answers[0]).count()))}};
+  const Micros delay{
+      plan_.response_delay[0] +
+      Micros{static_cast<std::int64_t>(
+          uniform() * static_cast<double>((plan_.response_delay[1] - plan_.response_delay[0]).count()))}};
   if (reset_share_ > 0 && uniform() < reset_share_) return {Answer::reset, delay};
   if (error_share_ > 0 && uniform() < error_share_) return {Answer::err, delay};
-  if (draining_ || connections_ >= plan_.connections) return {Answer::busy, delay};
+  if (draining_ || connections_ >= plan_.max_connections) return {Answer::busy, delay};
   return {Answer::up, delay + Micros{static_cast<std::int64_t>(backlog_seconds_ * 1e6)}};
 }
 
@@ -85,13 +88,13 @@
 
 Micros HostModel::line_service_time(Micros now) {
   advance(now);
-  return Micros{static_cast<std::int64_t>(static_cast<double>(plan_.serves.count()) * (0.5 + uniform()) +
-                                          backlog_seconds_ * 1e6)};
+  return Micros{static_cast<std::int64_t>(
+      static_cast<double>(plan_.service_time.count()) * (0.5 + uniform()) + backlog_seconds_ * 1e6)};
 }
 
 const HostModel::Report& HostModel::report(Micros now) {
   advance(now);
-  if (reported_at_ == Micros::min() || now - reported_at_ >= plan_.refresh) {
+  if (reported_at_ == Micros::min() || now - reported_at_ >= plan_.report_interval) {
     report_ = {utilization(), std::min(1.0, utilization()), connections_};
     reported_at_ = now;
   }
--- a/src/lab/models/host_model.h
+++ b/src/lab/models/host_model.h
@@ -39,7 +39,7 @@
   void drain() { draining_ = true; }
   bool draining() const { return draining_; }
   bool overloaded() const { return overloaded_; }
-  bool is_cold(Micros now) const { return cold_start_ && now - started_ < cold_.warm_within; }
+  bool is_cold(Micros now) const { return cold_start_ && now - started_ < cold_.warm_up; }
   // Zero for a host that was warm at its start.
   Micros boot_time() const { return cold_start_ ? started_ : Micros{0}; }
 
--- a/src/lab/models/host_server.cpp
+++ b/src/lab/models/host_server.cpp
@@ -108,7 +108,7 @@
   connection.session = {id};
   connection.dial_id = checker_.begin_dial(host_no_, connection.session, now);
   const SessionLoad* const session = registry_.find_session(connection.session);
-  connection.load = session ? session->load : traffic_.load;
+  connection.load = session ? session->load : traffic_.mean_load;
   connection.group = session ? session->group : 0;
   const bool was_overloaded = model_.overloaded();
   if (model_.is_cold(now))
@@ -177,9 +177,10 @@
   connection.pending_replies.pop_front();
   const Micros now = timers_.now();
   const double reported = connection.reported_load;
-  const double step = traffic_.drift * std::sqrt(seconds(now - connection.load_updated_at)) *
+  const double step = traffic_.load_drift * std::sqrt(seconds(now - connection.load_updated_at)) *
                       (2 * std::generate_canonical<double, 32>(random_) - 1);
-  const double load = std::clamp(connection.load * (1 + step), traffic_.load / 8, traffic_.load * 16);
+  const double load =
+      std::clamp(connection.load * (1 + step), traffic_.mean_load / 8, traffic_.mean_load * 16);
   model_.load_changed(now, load - connection.load);
   connection.load = load;
   connection.load_updated_at = now;
@@ -251,12 +252,12 @@
 
 void HostServer::drain() {
   model_.drain();
-  if (plan_.sends_away == SendsAway::keeps) return;
+  if (plan_.drain_policy == DrainPolicy::keep) return;
   std::vector<SlabKey> open;
   connections_.for_each([&](SlabKey key, Connection& connection) {
     if (connection.phase == Connection::Phase::open) open.push_back(key);
   });
-  const Micros period = plan_.sends_away == SendsAway::at_once ? 0us : plan_.leaves_after / 2;
+  const Micros period = plan_.drain_policy == DrainPolicy::move_at_once ? 0us : plan_.drain_duration / 2;
   for (std::size_t i = 0; i < open.size(); ++i)
     timers_.schedule(period * static_cast<std::int64_t>(i) / static_cast<std::int64_t>(open.size()), *this,
                      timer_token(open[i], Timer::move));
--- a/src/lab/models/network_client.cpp
+++ b/src/lab/models/network_client.cpp
@@ -163,7 +163,7 @@
   checker_.client_sent_line(session_id_, hash_line(net::trim_line_end(line)), now);
   unanswered_lines_.push_back(now);
   writer_.write(line);
-  timers_.schedule(plan_.speaks_every, *this, timer_token(Timer::send_line));
+  timers_.schedule(plan_.message_interval, *this, timer_token(Timer::send_line));
 }
 
 bool NetworkClient::meets_message_target(Micros now) const {
--- a/src/lab/models/network_client.h
+++ b/src/lab/models/network_client.h
@@ -19,7 +19,7 @@
     NodeNo node;
     Address address;
   };
-  virtual std::optional<Route> choose_node(ZoneNo zone) = 0;  // none if no node is in service
+  virtual std::optional<Route> choose_node(ZoneId zone) = 0;  // none if no node is in service
   // Assigns the number that the OPEN line gives; hosts look up the load and the group by it.
   virtual SessionNo register_session(const ClientModel::Session& session) = 0;
   virtual Second& current_second() = 0;  // the counters of the current second of the run
@@ -31,7 +31,7 @@
 
 class NetworkClient final : net::StreamEvents, net::TimerEvents {
  public:
-  NetworkClient(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone,
+  NetworkClient(net::Sockets& sockets, net::TimerQueue& timers, MachineId machine, ZoneId zone,
                 ClientModel model, ClientEnvironment& environment, Checker& checker, EventLog& log,
                 const TrafficPlan& plan)
       : stream_(sockets),
@@ -81,8 +81,8 @@
   net::Stream stream_;
   BufferedWriter writer_;
   net::TimerQueue& timers_;
-  MachineNo machine_;
-  ZoneNo zone_;
+  MachineId machine_;
+  ZoneId zone_;
   ClientModel model_;
   ClientEnvironment& environment_;
   Checker& checker_;
@@ -102,7 +102,7 @@
 // an error or close within the limit of Rule::rude.
 class MisbehavingClient final : net::StreamEvents, net::TimerEvents {
  public:
-  MisbehavingClient(net::Sockets& sockets, net::TimerQueue& timers, MachineNo machine, ZoneNo zone,
+  MisbehavingClient(net::Sockets& sockets, net::TimerQueue& timers, MachineId machine, ZoneId zone,
                     ClientEnvironment& environment, std::function<bool(NodeNo)> node_reachable,
                     Checker& checker, EventLog& log, std::uint64_t seed)
       : stream_(sockets),
@@ -141,8 +141,8 @@
   net::Stream stream_;
   BufferedWriter writer_;
   net::TimerQueue& timers_;
-  MachineNo machine_;
-  ZoneNo zone_;
+  MachineId machine_;
+  ZoneId zone_;
   ClientEnvironment& environment_;
   std::function<bool(NodeNo)> node_reachable_;
   Checker& checker_;
--- a/src/lab/network/spawn.cpp
+++ b/src/lab/network/child_process.cpp
@@ -1,4 +1,4 @@
-#include "lab/network/spawn.h"
+#include "lab/network/child_process.h"
 
 #include <fcntl.h>
 #include <sys/wait.h>
@@ -10,7 +10,7 @@
 
 namespace flintweir::lab {
 
-Child::Child(std::vector<std::string> words, const std::string& log) {
+ChildProcess::ChildProcess(std::vector<std::string> words, const std::string& log) {
   const int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   std::vector<char*> args;
   for (std::string& w : words) args.push_back(w.data());
@@ -31,17 +31,17 @@
   if (fd >= 0) ::close(fd);
 }
 
-Child::~Child() {
+ChildProcess::~ChildProcess() {
   if (pid_ == 0) return;
   kill(pid_, SIGKILL);
   waitpid(pid_, nullptr, 0);
 }
 
-void Child::signal(int number) {
+void ChildProcess::signal(int number) {
   if (running()) kill(pid_, number);
 }
 
-bool Child::running() {
+bool ChildProcess::running() {
   if (pid_ != 0 && waitpid(pid_, nullptr, WNOHANG) != 0) pid_ = 0;
   return pid_ != 0;
 }
--- a/src/lab/network/spawn.h
+++ b/src/lab/network/child_process.h
@@ -9,12 +9,12 @@
 namespace flintweir::lab {
 
 // Runs from its making; killed with its last user at the latest.
-class Child {
+class ChildProcess {
  public:
   // What it writes goes to the end of `log`. Throws std::runtime_error.
-  Child(std::vector<std::string> words, const std::string& log);
-  ~Child();
-  Child(const Child&) = delete;
+  ChildProcess(std::vector<std::string> words, const std::string& log);
+  ~ChildProcess();
+  ChildProcess(const ChildProcess&) = delete;
 
   void signal(int number);  // nothing where it has ended
   bool running();
--- a/src/lab/network/timeline.h
+++ b/src/lab/network/event_queue.h
@@ -10,39 +10,39 @@
 
 namespace flintweir::lab {
 
-class Timeline {
+class EventQueue {
  public:
-  using Act = std::function<void()>;
-  explicit Timeline(Micros start) : now_(start) {}
+  using Callback = std::function<void()>;
+  explicit EventQueue(Micros start) : now_(start) {}
   Micros now() const { return now_; }
   // What is due at the same time comes in the order in which it was asked for.
-  void at(Micros when, Act act) {
-    heap_.push_back({std::max(when, now_), order_++, std::move(act)});
+  void schedule_at(Micros when, Callback callback) {
+    heap_.push_back({std::max(when, now_), order_++, std::move(callback)});
     std::push_heap(heap_.begin(), heap_.end());
   }
-  void after(Micros in, Act act) { at(now_ + in, std::move(act)); }
+  void schedule_after(Micros in, Callback callback) { schedule_at(now_ + in, std::move(callback)); }
   void run_until(Micros end) {
     while (!heap_.empty() && heap_.front().at <= end) {
       std::pop_heap(heap_.begin(), heap_.end());
       Due due = std::move(heap_.back());
       heap_.pop_back();
       now_ = due.at;
-      ++done_;
-      due.act();
+      ++executed_;
+      due.callback();
     }
     now_ = std::max(now_, end);
   }
-  std::uint64_t done() const { return done_; }
+  std::uint64_t executed() const { return executed_; }
 
  private:
   struct Due {
     Micros at;
     std::uint64_t order;
-    Act act;
+    Callback callback;
     bool operator<(const Due& o) const { return at != o.at ? at > o.at : order > o.order; }
   };
   Micros now_;
-  std::uint64_t order_ = 0, done_ = 0;
+  std::uint64_t order_ = 0, executed_ = 0;
   std::vector<Due> heap_;
 };
 
--- a/src/lab/network/loopback_stage.cpp
+++ b/src/lab/network/loopback_environment.cpp
@@ -1,4 +1,4 @@
-#include "lab/network/loopback_stage.h"
+#include "lab/network/loopback_environment.h"
 
 #include <arpa/inet.h>
 #include <sys/socket.h>
@@ -31,21 +31,21 @@
 
 }  // namespace
 
-LoopbackStage::LoopbackStage(std::vector<std::string> program, std::string folder)
-    : timeline_(clock_.now()), program_(std::move(program)), folder_(std::move(folder)) {
+LoopbackEnvironment::LoopbackEnvironment(std::vector<std::string> program, std::string folder)
+    : event_queue_(clock_.now()), program_(std::move(program)), folder_(std::move(folder)) {
   std::signal(SIGPIPE, SIG_IGN);
 }
 
-void LoopbackStage::run_until(Micros end) {
+void LoopbackEnvironment::run_until(Micros end) {
   constexpr Micros kTurn = 2ms;
   while (now() < end) {
-    timeline_.run_until(now());
+    event_queue_.run_until(now());
     clock_.run_for(std::min(kTurn, std::max(end - now(), 0us)));
   }
-  timeline_.run_until(now());
+  event_queue_.run_until(now());
 }
 
-MachineNo LoopbackStage::add_machine(ZoneNo) {
+MachineId LoopbackEnvironment::add_machine(ZoneId) {
   const std::size_t n = addresses_.size() + 1;
   const auto pid = static_cast<unsigned>(getpid());
   Address a;
@@ -56,49 +56,49 @@
   return {static_cast<std::uint32_t>(n - 1)};
 }
 
-net::Network& LoopbackStage::begin(MachineNo) {
+net::Network& LoopbackEnvironment::start_process(MachineId) {
   return *networks_.emplace_back(std::make_unique<net::KernelNetwork>(clock_));
 }
 
 // It stays, so that what the event loop still holds for it finds it.
-void LoopbackStage::end(net::Network& process) {
+void LoopbackEnvironment::end_process(net::Network& process) {
   for (const auto& n : networks_)
     if (n.get() == &process) n->shut_down();
 }
 
-std::string LoopbackStage::file(NodeNo node) const {
+std::string LoopbackEnvironment::file(NodeNo node) const {
   return folder_ + "/n" + std::to_string(node.value) + ".json";
 }
 
-void LoopbackStage::write(NodeNo node, const std::string& config) const {
+void LoopbackEnvironment::write(NodeNo node, const std::string& config) const {
   std::ofstream out(file(node), std::ios::trunc);
   out << config;
   out.close();
   if (!out) throw std::runtime_error("can't write " + file(node));
 }
 
-void LoopbackStage::start_node(NodeNo node, MachineNo, const std::string& config,
-                               const std::vector<MachineNo>&) {
+void LoopbackEnvironment::start_node(NodeNo node, MachineId, const std::string& config,
+                                     const std::vector<MachineId>&) {
   write(node, config);
   const std::string log = file(node) + ".log", path = file(node);
   std::vector<std::string> words = program_;
   words.insert(words.end(), {"serve", "--config", path});
-  nodes_[node.value] = std::make_unique<Child>(std::move(words), log);
+  nodes_[node.value] = std::make_unique<ChildProcess>(std::move(words), log);
 }
 
-void LoopbackStage::kill_node(NodeNo node) { nodes_.erase(node.value); }
+void LoopbackEnvironment::kill_node(NodeNo node) { nodes_.erase(node.value); }
 
-void LoopbackStage::leave_node(NodeNo node) {
+void LoopbackEnvironment::shut_down_node(NodeNo node) {
   if (running(node)) nodes_[node.value]->signal(SIGTERM);
 }
 
-void LoopbackStage::reload_node(NodeNo node, const std::string& config) {
+void LoopbackEnvironment::reload_node(NodeNo node, const std::string& config) {
   if (!running(node)) return;
   write(node, config);
   nodes_[node.value]->signal(SIGHUP);
 }
 
-bool LoopbackStage::running(NodeNo node) {
+bool LoopbackEnvironment::running(NodeNo node) {
   const auto it = nodes_.find(node.value);
   return it != nodes_.end() && it->second->running();
 }
--- a/src/lab/network/fabric.cpp
+++ b/src/lab/network/virtual_network.cpp
@@ -1,4 +1,4 @@
-#include "lab/network/fabric.h"
+#include "lab/network/virtual_network.h"
 
 #include <system_error>
 
@@ -15,19 +15,19 @@
 
 }  // namespace
 
-Fabric::Fabric(Timeline& timeline, Carriage carriage, std::uint64_t seed)
-    : timeline_(timeline),
-      carriage_(std::move(carriage)),
+VirtualNetwork::VirtualNetwork(EventQueue& event_queue, LinkModel link_model, std::uint64_t seed)
+    : event_queue_(event_queue),
+      link_model_(std::move(link_model)),
       chance_(static_cast<std::knuth_b::result_type>(seed | 1)) {}
 
-Fabric::~Fabric() = default;
+VirtualNetwork::~VirtualNetwork() = default;
 
-MachineNo Fabric::add_machine(ZoneNo zone) {
+MachineId VirtualNetwork::add_machine(ZoneId zone) {
   machines_.push_back({zone, false, {}, {}});
   return {static_cast<std::uint32_t>(machines_.size() - 1)};
 }
 
-Address Fabric::address(MachineNo machine, std::uint16_t port) {
+Address VirtualNetwork::address(MachineId machine, std::uint16_t port) {
   Address out;
   const std::uint32_t n = machine.value + 1;
   out.bytes = {10, static_cast<std::uint8_t>(n >> 16), static_cast<std::uint8_t>(n >> 8),
@@ -36,17 +36,17 @@
   return out;
 }
 
-Micros Fabric::latency(MachineNo a, MachineNo b) const {
+Micros VirtualNetwork::latency(MachineId a, MachineId b) const {
   if (a == b) return 20us;
-  const ZoneNo x = machines_[a.value].zone, y = machines_[b.value].zone;
-  if (x == y) return carriage_.within_zone;
-  for (const Carriage::Pair& p : carriage_.pairs)
+  const ZoneId x = machines_[a.value].zone, y = machines_[b.value].zone;
+  if (x == y) return link_model_.within_zone;
+  for (const LinkModel::Pair& p : link_model_.pairs)
     if ((p.a == x && p.b == y) || (p.a == y && p.b == x)) return p.one_way;
-  return carriage_.across;
+  return link_model_.across;
 }
 
-Micros Fabric::travel(MachineNo from, MachineNo to) {
-  const double more = carriage_.jitter * std::generate_canonical<double, 32>(chance_);
+Micros VirtualNetwork::travel(MachineId from, MachineId to) {
+  const double more = link_model_.jitter * std::generate_canonical<double, 32>(chance_);
   Micros out{static_cast<std::int64_t>(static_cast<double>(latency(from, to).count()) * (1 + more))};
   const auto bad = bad_.find(std::minmax(from.value, to.value));
   if (bad == bad_.end()) return out;
@@ -58,33 +58,35 @@
   return out;
 }
 
-void Fabric::worsen(MachineNo a, MachineNo b, Micros longer, double lost) {
+void VirtualNetwork::degrade(MachineId a, MachineId b, Micros longer, double lost) {
   bad_[std::minmax(a.value, b.value)] = {longer, lost};
 }
 
-void Fabric::ease(MachineNo a, MachineNo b) { bad_.erase(std::minmax(a.value, b.value)); }
+void VirtualNetwork::clear_degradation(MachineId a, MachineId b) {
+  bad_.erase(std::minmax(a.value, b.value));
+}
 
-bool Fabric::blocked(MachineNo from, MachineNo to) const {
+bool VirtualNetwork::blocked(MachineId from, MachineId to) const {
   if (from == to) return false;
   const Machine &a = machines_[from.value], &b = machines_[to.value];
   return a.lost || b.lost || cuts_.contains({a.zone.value, b.zone.value});
 }
 
-void Fabric::lose(MachineNo machine) { machines_[machine.value].lost = true; }
+void VirtualNetwork::disconnect(MachineId machine) { machines_[machine.value].lost = true; }
 
-void Fabric::restore(MachineNo machine) {
+void VirtualNetwork::reconnect(MachineId machine) {
   machines_[machine.value].lost = false;
   healed();
 }
 
-void Fabric::cut(ZoneNo from, ZoneNo to) { cuts_.insert({from.value, to.value}); }
+void VirtualNetwork::block(ZoneId from, ZoneId to) { cuts_.insert({from.value, to.value}); }
 
-void Fabric::mend(ZoneNo from, ZoneNo to) {
+void VirtualNetwork::unblock(ZoneId from, ZoneId to) {
   cuts_.erase({from.value, to.value});
   healed();
 }
 
-void Fabric::healed() {
+void VirtualNetwork::healed() {
   std::erase_if(wires_, [](const auto& w) { return w.expired(); });
   for (const auto& weak : wires_) {
     const WireAt wire = weak.lock();
@@ -92,36 +94,37 @@
       Side& side = wire->side[from];
       if (side.out.empty() || side.pumping) continue;
       side.pumping = true;
-      timeline_.after(kAgain, [this, wire, from] { pump(wire, from); });
+      event_queue_.schedule_after(kAgain, [this, wire, from] { pump(wire, from); });
     }
   }
 }
 
-void Fabric::send(const WireAt& wire, int from, Segment::Kind kind, std::string bytes, std::size_t acked) {
+void VirtualNetwork::send(const WireAt& wire, int from, Segment::Kind kind, std::string bytes,
+                          std::size_t acked) {
   Side& side = wire->side[from];
   const Micros arrival =
-      std::max(side.last_arrival, timeline_.now() + travel(side.machine, wire->side[1 - from].machine));
+      std::max(side.last_arrival, event_queue_.now() + travel(side.machine, wire->side[1 - from].machine));
   side.last_arrival = arrival;
   side.out.push_back({kind, arrival, std::move(bytes), acked});
   if (std::exchange(side.pumping, true)) return;
-  timeline_.at(arrival, [this, wire, from] { pump(wire, from); });
+  event_queue_.schedule_at(arrival, [this, wire, from] { pump(wire, from); });
 }
 
 // In order: what is lost holds up all that was sent behind it.
-void Fabric::pump(const WireAt& wire, int from) {
+void VirtualNetwork::pump(const WireAt& wire, int from) {
   Side& side = wire->side[from];
   side.pumping = false;
-  while (!side.out.empty() && side.out.front().arrival <= timeline_.now()) {
+  while (!side.out.empty() && side.out.front().arrival <= event_queue_.now()) {
     if (blocked(side.machine, wire->side[1 - from].machine)) return;  // until healed
     Segment next = std::move(side.out.front());
     side.out.pop_front();
     deliver(wire, 1 - from, std::move(next));
   }
   if (side.out.empty() || std::exchange(side.pumping, true)) return;
-  timeline_.at(side.out.front().arrival, [this, wire, from] { pump(wire, from); });
+  event_queue_.schedule_at(side.out.front().arrival, [this, wire, from] { pump(wire, from); });
 }
 
-void Fabric::deliver(const WireAt& wire, int to, Segment segment) {
+void VirtualNetwork::deliver(const WireAt& wire, int to, Segment segment) {
   Side& side = wire->side[to];
   switch (segment.kind) {
     case Segment::Kind::established:
@@ -157,11 +160,11 @@
   }
 }
 
-void Fabric::notify(const WireAt& wire, int no) {
+void VirtualNetwork::notify(const WireAt& wire, int no) {
   Side& side = wire->side[no];
   if (!side.process) return;
   const auto tell = [this, &wire, no](bool reading) {
-    wire->side[no].process->post([wire, no, reading, window = carriage_.window] {
+    wire->side[no].process->post([wire, no, reading, window = link_model_.window] {
       Side& s = wire->side[no];
       Process::Entry* const e = s.process ? s.process->sockets_.find(s.key) : nullptr;
       if (!e) return;
@@ -175,25 +178,25 @@
     });
   };
   if (side.waits_read && side.readable()) tell(true);
-  if (side.waits_write && (side.unacked < carriage_.window || side.rst_in)) tell(false);
+  if (side.waits_write && (side.unacked < link_model_.window || side.rst_in)) tell(false);
 }
 
 // The first packet of a connection, as often as it takes.
-void Fabric::connection_came(const WireAt& wire, Address to) {
+void VirtualNetwork::connection_came(const WireAt& wire, Address to) {
   Side &from = wire->side[0], &there = wire->side[1];
   if (!from.process) return;
   if (blocked(from.machine, there.machine)) {
-    return timeline_.after(kSynAgain, [this, wire, to] { connection_came(wire, to); });
+    return event_queue_.schedule_after(kSynAgain, [this, wire, to] { connection_came(wire, to); });
   }
   Machine& machine = machines_[there.machine.value];
   const auto listener = machine.listening.find(to.port);
   if (listener == machine.listening.end()) {
     const Micros back = travel(there.machine, from.machine);
-    return timeline_.after(back, [this, wire, to] {
+    return event_queue_.schedule_after(back, [this, wire, to] {
       Side& asker = wire->side[0];
       if (!asker.process) return;
       if (blocked(wire->side[1].machine, asker.machine))
-        return timeline_.after(kSynAgain, [this, wire, to] { connection_came(wire, to); });
+        return event_queue_.schedule_after(kSynAgain, [this, wire, to] { connection_came(wire, to); });
       asker.rst_in = true;
       asker.process->post([wire] {
         const Side& s = wire->side[0];
@@ -204,7 +207,7 @@
   }
   Process& process = *listener->second;
   if (process.waiting_.size() >= kBacklog)
-    return timeline_.after(kSynAgain, [this, wire, to] { connection_came(wire, to); });
+    return event_queue_.schedule_after(kSynAgain, [this, wire, to] { connection_came(wire, to); });
   there.process = &process;
   there.established = true;
   process.waiting_.push_back(wire);
@@ -213,27 +216,27 @@
 }
 
 // Each datagram by itself: nothing holds it up, and nothing mends it.
-void Fabric::carry(MachineNo from, std::uint16_t port, const Address& to, std::string_view bytes) {
+void VirtualNetwork::carry(MachineId from, std::uint16_t port, const Address& to, std::string_view bytes) {
   const std::uint32_t n = static_cast<std::uint32_t>(to.bytes[1]) << 16 |
                           static_cast<std::uint32_t>(to.bytes[2]) << 8 | to.bytes[3];
   if (to.is_v6 || to.bytes[0] != 10 || n == 0 || n > machines_.size()) return;
-  const MachineNo there{n - 1};
+  const MachineId there{n - 1};
   if (blocked(from, there)) return;
-  const Post* const way = post_of_ ? post_of_(from, there, bytes.size()) : nullptr;
-  for (auto& [late, text] : carried(way ? *way : Post(), chance_, bytes)) {
+  const DatagramFaults* const way =
+      datagram_faults_of_ ? datagram_faults_of_(from, there, bytes.size()) : nullptr;
+  for (auto& [late, text] : delivered_copies(way ? *way : DatagramFaults(), chance_, bytes)) {
     const Micros in = travel(from, there) + late;
-    timeline_.after(in,
-                    [this, from, there, at = to.port, sender = address(from, port), text = std::move(text)] {
-                      if (blocked(from, there)) return;
-                      const auto& boxes = machines_[there.value].boxes;
-                      if (const auto box = boxes.find(at); box != boxes.end())
-                        box->second->letter(sender, text);
-                    });
+    event_queue_.schedule_after(
+        in, [this, from, there, at = to.port, sender = address(from, port), text = std::move(text)] {
+          if (blocked(from, there)) return;
+          const auto& boxes = machines_[there.value].boxes;
+          if (const auto box = boxes.find(at); box != boxes.end()) box->second->letter(sender, text);
+        });
   }
 }
 
 Address Process::open_datagrams(const Address& at) {
-  if (!fabric_.machines_[machine_.value].boxes.emplace(at.port, this).second)
+  if (!network_.machines_[machine_.value].boxes.emplace(at.port, this).second)
     throw std::system_error(std::make_error_code(std::errc::address_in_use));
   box_ = at.port;
   return at;
@@ -249,7 +252,7 @@
   if (letters_.size() < kLetters && !bytes.empty()) letters_.emplace_back(from, std::move(bytes));
   if (frozen_ || letters_.empty() || !datagram_events_) return;
   post([this] {
-    fabric_.acting_ = machine_;
+    network_.last_active_machine_ = machine_;
     if (net::DatagramEvents* const whom = std::exchange(datagram_events_, nullptr)) whom->datagram_pending();
   });
 }
@@ -264,36 +267,38 @@
 }
 
 void Process::send_datagram(const Address& to, std::string_view bytes) {
-  if (box_ && !dead_) fabric_.carry(machine_, box_, to, bytes);
+  if (box_ && !dead_) network_.carry(machine_, box_, to, bytes);
 }
 
 void Process::freeze(bool on) {
   frozen_ = on;
   if (on) return;
-  for (Timeline::Act& act : std::exchange(held_, {})) fabric_.timeline_.after(0us, std::move(act));
+  for (EventQueue::Callback& act : std::exchange(held_, {}))
+    network_.event_queue_.schedule_after(0us, std::move(act));
   if (!letters_.empty()) letter({}, "");
 }
 
-Process::Process(Fabric& fabric, MachineNo machine, std::size_t descriptors)
-    : fabric_(fabric), machine_(machine), limit_(descriptors) {}
+Process::Process(VirtualNetwork& network, MachineId machine, std::size_t descriptors)
+    : network_(network), machine_(machine), limit_(descriptors) {}
 
 void Process::kill() {
   if (std::exchange(dead_, true)) return;
   *alive_ = false;
-  if (port_) fabric_.machines_[machine_.value].listening.erase(port_);
-  if (box_) fabric_.machines_[machine_.value].boxes.erase(box_);
+  if (port_) network_.machines_[machine_.value].listening.erase(port_);
+  if (box_) network_.machines_[machine_.value].boxes.erase(box_);
   std::vector<net::SocketKey> open;
   sockets_.for_each([&](net::SocketKey key, Entry&) { open.push_back(key); });
   for (const net::SocketKey key : open) close(key, true);
-  for (const Fabric::WireAt& wire : waiting_) {
+  for (const VirtualNetwork::WireAt& wire : waiting_) {
     wire->side[1].process = nullptr;
-    if (!std::exchange(wire->side[1].rst_out, true)) fabric_.send(wire, 1, Fabric::Segment::Kind::rst);
+    if (!std::exchange(wire->side[1].rst_out, true))
+      network_.send(wire, 1, VirtualNetwork::Segment::Kind::rst);
   }
   waiting_.clear();
 }
 
-void Process::post(Timeline::Act act) {
-  fabric_.timeline_.after(0us, [this, alive = alive_, act = std::move(act)] {
+void Process::post(EventQueue::Callback act) {
+  network_.event_queue_.schedule_after(0us, [this, alive = alive_, act = std::move(act)] {
     if (!*alive) return;
     frozen_ ? held_.push_back([alive, act] {
       if (*alive) act();
@@ -303,11 +308,11 @@
 }
 
 void Process::set_alarm(Micros at, net::AlarmEvents& whom) {
-  fabric_.timeline_.at(at + clock_back_, [this, alive = alive_, no = ++rings_, &whom] {
+  network_.event_queue_.schedule_at(at + clock_lag_, [this, alive = alive_, no = ++rings_, &whom] {
     if (!*alive) return;
     const auto rang = [this, alive, no, &whom] {
       if (!*alive || stopped_ || no != rings_) return;
-      fabric_.acting_ = machine_;
+      network_.last_active_machine_ = machine_;
       whom.alarm_expired();
     };
     frozen_ ? held_.push_back(rang) : rang();
@@ -315,7 +320,7 @@
 }
 
 Address Process::listen(const Address& at) {
-  if (!fabric_.machines_[machine_.value].listening.emplace(at.port, this).second) {
+  if (!network_.machines_[machine_.value].listening.emplace(at.port, this).second) {
     throw std::system_error(std::make_error_code(std::errc::address_in_use));
   }
   port_ = at.port;
@@ -324,7 +329,7 @@
 }
 
 void Process::stop_listening() {
-  fabric_.machines_[machine_.value].listening.erase(std::exchange(port_, 0));
+  network_.machines_[machine_.value].listening.erase(std::exchange(port_, 0));
   --open_;
 }
 
@@ -346,15 +351,15 @@
   if (dead_) return {{}, net::IoStatus::failed, "dead"};
   if (waiting_.empty()) return {{}, net::IoStatus::would_block};
   if (open_ >= limit_) return {{}, net::IoStatus::failed, "no descriptors"};
-  const Fabric::WireAt wire = std::move(waiting_.front());
+  const VirtualNetwork::WireAt wire = std::move(waiting_.front());
   waiting_.pop_front();
   return {open(wire, 1, nullptr)};
 }
 
-net::SocketKey Process::open(const Fabric::WireAt& wire, int side, net::SocketEvents* whom) {
+net::SocketKey Process::open(const VirtualNetwork::WireAt& wire, int side, net::SocketEvents* whom) {
   const net::SocketKey key = sockets_.acquire();
   *sockets_.find(key) = {wire, side, whom};
-  Fabric::Side& s = wire->side[side];
+  VirtualNetwork::Side& s = wire->side[side];
   s.process = this;
   s.machine = machine_;
   s.key = key;
@@ -364,16 +369,16 @@
 
 net::SocketKey Process::connect(const Address& to, net::SocketEvents& whom) {
   if (dead_ || open_ >= limit_) return {};
-  const auto wire = std::make_shared<Fabric::Wire>();
+  const auto wire = std::make_shared<VirtualNetwork::Wire>();
   const std::uint32_t n = std::uint32_t{to.bytes[1]} << 16 | std::uint32_t{to.bytes[2]} << 8 | to.bytes[3];
-  if (n == 0 || n > fabric_.machines_.size()) return {};
+  if (n == 0 || n > network_.machines_.size()) return {};
   wire->side[1].machine = {n - 1};
   const net::SocketKey key = open(wire, 0, &whom);
-  if (fabric_.wires_.size() > 4096 && fabric_.wires_.size() % 1024 == 0)
-    std::erase_if(fabric_.wires_, [](const auto& w) { return w.expired(); });
-  fabric_.wires_.push_back(wire);
-  fabric_.timeline_.after(fabric_.travel(machine_, wire->side[1].machine),
-                          [f = &fabric_, wire, to] { f->connection_came(wire, to); });
+  if (network_.wires_.size() > 4096 && network_.wires_.size() % 1024 == 0)
+    std::erase_if(network_.wires_, [](const auto& w) { return w.expired(); });
+  network_.wires_.push_back(wire);
+  network_.event_queue_.schedule_after(network_.travel(machine_, wire->side[1].machine),
+                                       [f = &network_, wire, to] { f->connection_came(wire, to); });
   return key;
 }
 
@@ -385,25 +390,25 @@
   Entry* const e = sockets_.find(socket);
   if (!e) return;
   e->wire->side[e->side].waits_read = true;
-  fabric_.notify(e->wire, e->side);
+  network_.notify(e->wire, e->side);
 }
 
 void Process::wait_write(net::SocketKey socket) {
   Entry* const e = sockets_.find(socket);
   if (!e) return;
   e->wire->side[e->side].waits_write = true;
-  fabric_.notify(e->wire, e->side);
+  network_.notify(e->wire, e->side);
 }
 
 net::IoResult Process::read(net::SocketKey socket, char* to, std::size_t size) {
   Entry* const e = sockets_.find(socket);
   if (!e) return {0, net::IoStatus::failed};
-  Fabric::Side& side = e->wire->side[e->side];
+  VirtualNetwork::Side& side = e->wire->side[e->side];
   if (const std::size_t held = side.in.size() - side.read_from; held > 0) {
     const std::size_t n = std::min(size, held);
     side.in.copy(to, n, side.read_from);
     side.read_from += n;
-    fabric_.send(e->wire, e->side, Fabric::Segment::Kind::ack, {}, n);
+    network_.send(e->wire, e->side, VirtualNetwork::Segment::Kind::ack, {}, n);
     return {n, net::IoStatus::done};
   }
   if (side.rst_in) return {0, net::IoStatus::failed};
@@ -413,35 +418,35 @@
 net::IoResult Process::write(net::SocketKey socket, std::span<const std::string_view> parts) {
   Entry* const e = sockets_.find(socket);
   if (!e) return {0, net::IoStatus::failed};
-  Fabric::Side& side = e->wire->side[e->side];
+  VirtualNetwork::Side& side = e->wire->side[e->side];
   if (side.rst_in || side.fin_out || side.rst_out) return {0, net::IoStatus::failed};
-  const std::size_t window = fabric_.carriage_.window;
+  const std::size_t window = network_.link_model_.window;
   std::size_t room = window - std::min(window, side.unacked), all = 0;
   for (const std::string_view part : parts) all += part.size();
   if (room == 0 && all > 0) return {0, net::IoStatus::would_block};
-  if (all > 1 && fabric_.carriage_.partial > 0 &&
-      std::generate_canonical<double, 32>(fabric_.chance_) < fabric_.carriage_.partial) {
-    room = std::min<std::size_t>(room, 1 + fabric_.chance_() % (all - 1));
+  if (all > 1 && network_.link_model_.partial > 0 &&
+      std::generate_canonical<double, 32>(network_.chance_) < network_.link_model_.partial) {
+    room = std::min<std::size_t>(room, 1 + network_.chance_() % (all - 1));
   }
   std::string bytes;
   for (const std::string_view part : parts) bytes.append(part.substr(0, room - bytes.size()));
   const std::size_t n = bytes.size();
   side.unacked += n;
-  if (n > 0) fabric_.send(e->wire, e->side, Fabric::Segment::Kind::data, std::move(bytes));
+  if (n > 0) network_.send(e->wire, e->side, VirtualNetwork::Segment::Kind::data, std::move(bytes));
   return {n, net::IoStatus::done};
 }
 
 void Process::shutdown_send(net::SocketKey socket) {
   Entry* const e = sockets_.find(socket);
   if (!e || std::exchange(e->wire->side[e->side].fin_out, true)) return;
-  fabric_.send(e->wire, e->side, Fabric::Segment::Kind::fin);
+  network_.send(e->wire, e->side, VirtualNetwork::Segment::Kind::fin);
 }
 
 void Process::close(net::SocketKey socket, bool reset) {
   Entry* const e = sockets_.find(socket);
   if (!e) return;
-  const Fabric::WireAt wire = std::move(e->wire);
-  Fabric::Side& side = wire->side[e->side];
+  const VirtualNetwork::WireAt wire = std::move(e->wire);
+  VirtualNetwork::Side& side = wire->side[e->side];
   const int no = e->side;
   sockets_.release(socket);
   --open_;
@@ -449,9 +454,9 @@
   if (!side.established) return;
   // As a kernel does: closing over bytes that nobody has read is a reset.
   if (reset || side.read_from < side.in.size()) {
-    if (!std::exchange(side.rst_out, true)) fabric_.send(wire, no, Fabric::Segment::Kind::rst);
+    if (!std::exchange(side.rst_out, true)) network_.send(wire, no, VirtualNetwork::Segment::Kind::rst);
   } else if (!std::exchange(side.fin_out, true)) {
-    fabric_.send(wire, no, Fabric::Segment::Kind::fin);
+    network_.send(wire, no, VirtualNetwork::Segment::Kind::fin);
   }
 }
 
--- a/src/lab/reports/capacity.cpp
+++ b/src/lab/reports/capacity.cpp
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "lab/faults/fields.h"
+#include "lab/faults/table_reader.h"
 
 namespace flintweir::lab {
 namespace {
@@ -33,17 +33,18 @@
   try {
     return toml::parse_file(path);
   } catch (const toml::parse_error& e) {
-    throw BadFile(path + ":" + std::to_string(e.source().begin.line) + ": " + std::string(e.description()));
+    throw InputError(path + ":" + std::to_string(e.source().begin.line) + ": " +
+                     std::string(e.description()));
   }
 }
 
-std::vector<double> numbers(const toml::table& table, const char* key, const Fields& fields) {
+std::vector<double> numbers(const toml::table& table, const char* key, const TableReader& fields) {
   std::vector<double> out;
   const toml::array* const row = table[key].as_array();
-  if (!row) fields.bad(key, "is not a list of numbers");
+  if (!row) fields.fail(key, "is not a list of numbers");
   for (const toml::node& n : *row) {
     const auto v = n.is_number() ? n.value<double>() : std::nullopt;
-    if (!v || !std::isfinite(*v) || *v < 0) fields.bad(key, "holds what is no number of zero or more");
+    if (!v || !std::isfinite(*v) || *v < 0) fields.fail(key, "holds what is no number of zero or more");
     out.push_back(*v);
   }
   return out;
@@ -72,73 +73,73 @@
 
 Capacity::Capacity(const std::string& slopes, const std::string& size) {
   const toml::table sizes = read(size);
-  Fields of_size(sizes, "", size);
+  TableReader of_size(sizes, "", size);
   for (const auto& [key, node] : sizes) {
     const std::string name(key.str());
     if (name == "hosts") {
       hosts_ = numbers(sizes, "hosts", of_size);
       continue;
     }
-    if (!node.is_number()) of_size.bad(name, "is not a number");
+    if (!node.is_number()) of_size.fail(name, "is not a number");
     const double v = node.value<double>().value_or(-1);
-    if (!std::isfinite(v) || v <= 0) of_size.bad(name, "is not above zero");
+    if (!std::isfinite(v) || v <= 0) of_size.fail(name, "is not above zero");
     counts_[name] = v;
   }
-  if (hosts_.empty()) of_size.bad("hosts", "is missing: the counts of hosts to work out");
+  if (hosts_.empty()) of_size.fail("hosts", "is missing: the counts of hosts to work out");
 
   const toml::table table = read(slopes);
   for (const auto& [key, node] : table)
     if (key.str() != "slope" && key.str() != "row")
-      Fields(table, "", slopes).bad(key.str(), "is unknown; allowed are slope and row");
+      TableReader(table, "", slopes).fail(key.str(), "is unknown; allowed are slope and row");
   if (const toml::array* const all = table["slope"].as_array())
     for (const toml::node& n : *all) {
-      if (!n.is_table()) throw BadFile(slopes + ":1: slope: is not a table");
-      Fields f(*n.as_table(), "slope", slopes);
+      if (!n.is_table()) throw InputError(slopes + ":1: slope: is not a table");
+      TableReader f(*n.as_table(), "slope", slopes);
       Slope s;
-      s.name = f.word("name", "");
-      s.unit = f.word("unit", "");
-      s.per = f.word("per", "");
-      s.gave = f.word("gave", "");
-      s.command = f.word("command", "");
+      s.name = f.string("name", "");
+      s.unit = f.string("unit", "");
+      s.per = f.string("per", "");
+      s.gave = f.string("gave", "");
+      s.command = f.string("command", "");
       for (const char* key : {"name", "unit", "per", "gave", "command"})
-        if (!f.has(key)) f.bad(key, "is missing");
+        if (!f.has(key)) f.fail(key, "is missing");
       s.x = numbers(*n.as_table(), "x", f);
       s.y = numbers(*n.as_table(), "y", f);
-      if (s.x.size() < kLeastPoints) f.bad("x", "has fewer than four points");
-      if (s.x.size() != s.y.size()) f.bad("y", "has not as many points as x");
+      if (s.x.size() < kLeastPoints) f.fail("x", "has fewer than four points");
+      if (s.x.size() != s.y.size()) f.fail("y", "has not as many points as x");
       fit(s);
-      if (!slopes_.emplace(s.name, s).second) f.bad("name", "stands twice");
+      if (!slopes_.emplace(s.name, s).second) f.fail("name", "stands twice");
     }
   if (const toml::array* const all = table["row"].as_array())
     for (const toml::node& n : *all) {
-      if (!n.is_table()) throw BadFile(slopes + ":1: row: is not a table");
-      Fields f(*n.as_table(), "row", slopes);
+      if (!n.is_table()) throw InputError(slopes + ":1: row: is not a table");
+      TableReader f(*n.as_table(), "row", slopes);
       CapacityRow r;
-      r.state = f.word("state", "");
-      r.role = f.word("role", "");
-      r.what = f.word("what", "");
-      r.mechanism = f.word("mechanism", "missing");
-      r.slope = f.word("slope", "");
-      r.count = f.word("count", "");
-      r.figure = f.word("figure", "");
-      r.bound = f.word("bound", "");
-      r.unit = f.word("unit", "");
+      r.state = f.string("state", "");
+      r.role = f.string("role", "");
+      r.what = f.string("what", "");
+      r.mechanism = f.string("mechanism", "missing");
+      r.slope = f.string("slope", "");
+      r.count = f.string("count", "");
+      r.figure = f.string("figure", "");
+      r.bound = f.string("bound", "");
+      r.unit = f.string("unit", "");
       r.times = f.number("times", 1, 0, 1e12);
       r.value = f.number("value", -1, 0, 1e15);
       for (const char* key : {"state", "role", "what"})
-        if (!f.has(key)) f.bad(key, "is missing");
+        if (!f.has(key)) f.fail(key, "is missing");
       if (!r.slope.empty() + !r.figure.empty() + (r.value >= 0) != 1)
-        f.bad("slope", "has to stand here, or a figure, or a value, one of them");
-      if (!r.slope.empty() && !slopes_.contains(r.slope)) f.bad("slope", "is not among the slopes");
+        f.fail("slope", "has to stand here, or a figure, or a value, one of them");
+      if (!r.slope.empty() && !slopes_.contains(r.slope)) f.fail("slope", "is not among the slopes");
       try {
         if (!r.slope.empty()) value(r.count, hosts_.front());
         if (!r.bound.empty()) value(r.bound, hosts_.front());
-      } catch (const BadFile& e) {
-        f.bad(r.bound.empty() ? "count" : "bound", e.what());
+      } catch (const InputError& e) {
+        f.fail(r.bound.empty() ? "count" : "bound", e.what());
       }
       rows_.push_back(r);
     }
-  if (rows_.empty()) throw BadFile(slopes + ":1: row: there is none");
+  if (rows_.empty()) throw InputError(slopes + ":1: row: there is none");
 }
 
 double Capacity::value(const std::string& expression, double hosts) const {
@@ -156,7 +157,7 @@
       char* rest = nullptr;
       v = std::strtod(word.c_str(), &rest);
       if (word.empty() || *rest || !(v > 0))
-        throw BadFile("'" + word + "' is no count of the size and no number");
+        throw InputError("'" + word + "' is no count of the size and no number");
     }
     out = joined == '*' ? out * v : out / v;
     if (end == expression.size()) break;
@@ -257,7 +258,7 @@
   const std::string all = text.str();
   const std::size_t begin = all.find(kBegin), end = all.find(kEnd);
   if (!in || begin == all.npos || end == all.npos || end < begin)
-    throw BadFile(page + ":1: tables: the marks of its tables are missing");
+    throw InputError(page + ":1: tables: the marks of its tables are missing");
   const std::size_t from = begin + std::string(kBegin).size();
   return all.substr(from, end - from) == tables;
 }
--- a/src/lab/reports/capacity.h
+++ b/src/lab/reports/capacity.h
@@ -30,7 +30,7 @@
 
 class Capacity {
  public:
-  // Throws BadFile with one line: file, line, key, reason.
+  // Throws InputError with one line: file, line, key, reason.
   Capacity(const std::string& slopes, const std::string& size);
   // What the page holds between its marks.
   std::string tables() const;
@@ -50,7 +50,7 @@
   std::vector<CapacityRow> rows_;
 };
 
-// Whether the page's part between its marks is what the files give. Throws BadFile where it has no marks.
+// Whether the page's part between its marks is what the files give. Throws InputError where it has no marks.
 bool page_agrees(const std::string& page, const std::string& tables);
 
 }  // namespace flintweir::lab
--- a/src/lab/reports/results.cpp
+++ b/src/lab/reports/results.cpp
@@ -25,15 +25,15 @@
       title(std::move(t)),
       first_seed(first),
       last_seed(last),
-      lasts(seconds(e.lasts)),
+      lasts(seconds(e.duration)),
       measures(e.measures) {
   finish();
 }
 
-void RunSet::add(const Ran& ran) {
+void RunSet::add(const RunResult& ran) {
   const Outcome& o = ran.outcome;
   ++runs;
-  took_ += ran.took;
+  took_ += ran.wall_seconds;
   seconds_ += lasts;
   if (!ran.failed.empty() && failed_.empty())
     failed_ = "seed " + std::to_string(ran.seed) + ": " + ran.failed;
--- a/src/lab/reports/results.h
+++ b/src/lab/reports/results.h
@@ -15,7 +15,7 @@
   RunSet() = default;
   RunSet(const Experiment& experiment, std::string title, std::uint64_t first, std::uint64_t last);
 
-  void add(const Ran& ran);
+  void add(const RunResult& ran);
   nlohmann::json to_json() const;
   static RunSet of_json(const nlohmann::json& json);  // throws nlohmann::json::exception
 
--- a/src/lab/runner.cpp
+++ b/src/lab/runner.cpp
@@ -9,15 +9,15 @@
 #include <thread>
 
 #include "lab/models/baselines.h"
-#include "lab/network/loopback_stage.h"
-#include "lab/network/virtual_stage.h"
+#include "lab/network/loopback_environment.h"
+#include "lab/network/virtual_environment.h"
 
 namespace flintweir::lab {
 namespace {
 
 std::vector<Fault> faults_of(const Experiment& e, std::uint64_t seed,
                              const std::optional<std::set<std::size_t>>& only) {
-  const std::vector<Fault> all = draw_faults(e.faults, e.fleet, e.lasts, seed);
+  const std::vector<Fault> all = draw_faults(e.faults, e.fleet, e.duration, seed);
   if (!only) return all;
   std::vector<Fault> some;
   for (std::size_t i = 0; i < all.size(); ++i)
@@ -26,62 +26,64 @@
 }
 
 template <class Play>
-Ran timed(std::uint64_t seed, Play play) {
-  Ran out;
+RunResult timed(std::uint64_t seed, Play play) {
+  RunResult out;
   out.seed = seed;
   const auto began = std::chrono::steady_clock::now();
   try {
     play(out);
-  } catch (const BadFile&) {
+  } catch (const InputError&) {
     throw;
   } catch (const std::exception& e) {
     out.failed = e.what();
   }
-  out.took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+  out.wall_seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
   return out;
 }
 
 }  // namespace
 
-Ran run_virtual(const Experiment& e, std::uint64_t seed, Keep keep,
-                const std::optional<std::set<std::size_t>>& only) {
-  return timed(seed, [&](Ran& out) {
-    VirtualStage stage(e.carriage, part_seed(seed, 9), e.node.sockets, balancer_factory(e.node.balancer),
-                       keep.node_log ? &out.node_log : nullptr);
-    World world(e, stage, seed, faults_of(e, seed, only), keep.events);
-    out.outcome = world.play();
+RunResult run_virtual(const Experiment& e, std::uint64_t seed, RecordOptions keep,
+                      const std::optional<std::set<std::size_t>>& only) {
+  return timed(seed, [&](RunResult& out) {
+    VirtualEnvironment environment(e.link, derive_seed(seed, 9), e.node.sockets,
+                                   balancer_factory(e.node.balancer),
+                                   keep.node_log ? &out.node_log : nullptr);
+    ExperimentRun experiment_run(e, environment, seed, faults_of(e, seed, only), keep.events);
+    out.outcome = experiment_run.execute();
   });
 }
 
-Ran run_real(const Experiment& e, std::uint64_t seed, Keep keep, const std::vector<std::string>& program,
-             const std::string& folder) {
+RunResult run_real(const Experiment& e, std::uint64_t seed, RecordOptions keep,
+                   const std::vector<std::string>& program, const std::string& folder) {
   if (e.node.balancer != "module")
-    throw BadFile(e.name + ":1: node.balancer: the real program has only 'module'");
-  if (e.node.fleet)
-    throw BadFile(
+    throw InputError(e.name + ":1: node.balancer: the real program has only 'module'");
+  if (e.node.joins_fleet)
+    throw InputError(
         e.name +
         ":1: node.fleet: only in virtual time; processes that know each other play lab/members.toml");
   for (const FaultPlan& f : e.faults) {
     for (const FaultKind& k : fault_kinds()) {
       if (f.kind == k.name && k.virtual_only)
-        throw BadFile(e.name + ":1: fault.kind: '" + f.kind +
-                      "' needs the virtual network; run it without --real");
+        throw InputError(e.name + ":1: fault.kind: '" + f.kind +
+                         "' needs the virtual network; run it without --real");
     }
   }
-  return timed(seed, [&](Ran& out) {
-    LoopbackStage stage(program, folder);
-    World world(e, stage, seed, faults_of(e, seed, {}), keep.events);
-    out.outcome = world.play();
+  return timed(seed, [&](RunResult& out) {
+    LoopbackEnvironment environment(program, folder);
+    ExperimentRun experiment_run(e, environment, seed, faults_of(e, seed, {}), keep.events);
+    out.outcome = experiment_run.execute();
   });
 }
 
 void run_seeds(std::uint64_t first, std::uint64_t last, unsigned jobs,
-               const std::function<Ran(std::uint64_t)>& run, const std::function<bool(Ran&&)>& done) {
+               const std::function<RunResult(std::uint64_t)>& run,
+               const std::function<bool(RunResult&&)>& done) {
   std::atomic<std::uint64_t> next{first};
   std::atomic<bool> enough{false};
   std::mutex mutex;
   std::condition_variable moved;
-  std::map<std::uint64_t, Ran> waiting;
+  std::map<std::uint64_t, RunResult> waiting;
   std::uint64_t due = first;
   std::exception_ptr wrong;
   const std::uint64_t ahead = 4 * std::max(1u, jobs);  // outcomes that wait for an earlier one
@@ -93,7 +95,7 @@
       }
       if (enough) return;
       try {
-        Ran ran = run(seed);
+        RunResult ran = run(seed);
         const std::lock_guard lock(mutex);
         waiting.emplace(seed, std::move(ran));
         for (auto it = waiting.find(due); !enough && it != waiting.end(); it = waiting.find(due)) {
@@ -117,16 +119,16 @@
 
 std::optional<std::set<std::size_t>> shrink(const Experiment& e, std::uint64_t seed, unsigned jobs,
                                             const std::function<void(std::size_t, bool)>& tried) {
-  const Ran whole = run_virtual(e, seed);
+  const RunResult whole = run_virtual(e, seed);
   if (whole.outcome.violations.empty()) return std::nullopt;
   const Rule rule = whole.outcome.violations.front().rule;
   const auto fails = [&](const std::set<std::size_t>& some) {
-    const Ran ran = run_virtual(e, seed, {}, some);
+    const RunResult ran = run_virtual(e, seed, {}, some);
     return std::any_of(ran.outcome.violations.begin(), ran.outcome.violations.end(),
                        [&](const Violation& v) { return v.rule == rule; });
   };
   std::set<std::size_t> left;
-  const std::size_t all = draw_faults(e.faults, e.fleet, e.lasts, seed).size();
+  const std::size_t all = draw_faults(e.faults, e.fleet, e.duration, seed).size();
   for (std::size_t i = 0; i < all; ++i) left.insert(i);
   // Parts are left out, ever smaller ones; those of one size are tried together, and the first that still
   // fails is taken.
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -11,9 +11,9 @@
 #include <sstream>
 
 #include "lab/checks/interleaving.h"
-#include "lab/faults/bad_file.h"
-#include "lab/faults/builtin.h"
-#include "lab/network/fabric.h"
+#include "lab/faults/builtin_experiment.h"
+#include "lab/faults/input_error.h"
+#include "lab/network/virtual_network.h"
 #include "lab/reports/capacity.h"
 #include "lab/reports/results.h"
 #include "lab/runner.h"
@@ -26,10 +26,10 @@
 using namespace std::chrono_literals;
 
 Experiment experiment(const std::string& name) {
-  return Experiment::of_file(std::string(FLINTWEIR_EXPERIMENTS) + "/" + name + ".toml");
+  return Experiment::from_file(std::string(FLINTWEIR_EXPERIMENTS) + "/" + name + ".toml");
 }
 
-std::string broken(const Ran& ran) {
+std::string broken(const RunResult& ran) {
   std::ostringstream out;
   for (const Violation& v : ran.outcome.violations)
     out << "seed " << ran.seed << " at " << v.at.count() << " us, rule " << name_of(v.rule) << ", session "
@@ -103,76 +103,77 @@
 
 // Whatever breaks for a while, bytes come in order and none is lost or made up, both ways; the end comes
 // after the last of them, or not at all.
-TEST(Fabric, CarriesBytesInOrderThroughTroubles) {
+TEST(VirtualNetwork, CarriesBytesInOrderThroughTroubles) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 chance(seed);
-    Timeline timeline(1s);
-    Fabric fabric(timeline, {300us, 5ms, {}, 0.5, 256u << chance() % 6, 0.5}, seed);
-    const MachineNo a = fabric.add_machine({0}), b = fabric.add_machine({1});
-    Process left(fabric, a, 100), right(fabric, b, 100);
+    EventQueue event_queue(1s);
+    VirtualNetwork network(event_queue, {300us, 5ms, {}, 0.5, 256u << chance() % 6, 0.5}, seed);
+    const MachineId a = network.add_machine({0}), b = network.add_machine({1});
+    Process left(network, a, 100), right(network, b, 100);
     Talker dialler(left, seed), door(right, seed + 1);
-    const Address at = Fabric::address(b, 80);
+    const Address at = VirtualNetwork::address(b, 80);
     door.listen(at);
     dialler.dial(at);
     for (int i = 0; i < 20; ++i) {
-      timeline.at(1s + Micros{chance() % 9000000}, [&, n = chance() % 5000] { dialler.send(n); });
-      timeline.at(1s + Micros{chance() % 9000000}, [&, n = chance() % 5000] { door.send(n); });
+      event_queue.schedule_at(1s + Micros{chance() % 9000000}, [&, n = chance() % 5000] { dialler.send(n); });
+      event_queue.schedule_at(1s + Micros{chance() % 9000000}, [&, n = chance() % 5000] { door.send(n); });
     }
     for (int i = 0; i < 4; ++i) {
       const Micros from = 1s + Micros{chance() % 8000000};
       const std::uint32_t way = chance() % 2;
-      timeline.at(from, [&, way] { fabric.cut({way}, {1 - way}); });
-      timeline.at(from + Micros{chance() % 2000000}, [&, way] { fabric.mend({way}, {1 - way}); });
+      event_queue.schedule_at(from, [&, way] { network.block({way}, {1 - way}); });
+      event_queue.schedule_at(from + Micros{chance() % 2000000},
+                              [&, way] { network.unblock({way}, {1 - way}); });
     }
-    timeline.run_until(15s);
-    for (const std::uint32_t way : {0u, 1u}) fabric.mend({way}, {1 - way});
-    timeline.run_until(30s);
+    event_queue.run_until(15s);
+    for (const std::uint32_t way : {0u, 1u}) network.unblock({way}, {1 - way});
+    event_queue.run_until(30s);
     ASSERT_TRUE(dialler.up() && door.up()) << seed;
     dialler.finish();
     door.finish();
-    timeline.run_until(60s);
+    event_queue.run_until(60s);
     ASSERT_EQ(door.got, dialler.to_send) << seed;
     ASSERT_EQ(dialler.got, door.to_send) << seed;
     EXPECT_TRUE(door.ended && dialler.ended && !door.reset && !dialler.reset) << seed;
   }
 }
 
-TEST(Fabric, RefusesResetsAndFallsSilentAsMachinesDo) {
-  Timeline timeline(1s);
-  Fabric fabric(timeline, {}, 1);
-  const MachineNo a = fabric.add_machine({0}), b = fabric.add_machine({1});
-  Process left(fabric, a, 3);
+TEST(VirtualNetwork, RefusesResetsAndFallsSilentAsMachinesDo) {
+  EventQueue event_queue(1s);
+  VirtualNetwork network(event_queue, {}, 1);
+  const MachineId a = network.add_machine({0}), b = network.add_machine({1});
+  Process left(network, a, 3);
   {
     Talker refused(left, 1);
-    refused.dial(Fabric::address(b, 80));
-    timeline.run_until(2s);
+    refused.dial(VirtualNetwork::address(b, 80));
+    event_queue.run_until(2s);
     EXPECT_TRUE(refused.failed);
   }
-  auto right = std::make_unique<Process>(fabric, b, 100);
+  auto right = std::make_unique<Process>(network, b, 100);
   auto door = std::make_unique<Talker>(*right, 2);
-  door->listen(Fabric::address(b, 80));
+  door->listen(VirtualNetwork::address(b, 80));
   Talker killed(left, 3), lost(left, 4);
-  killed.dial(Fabric::address(b, 80));
-  timeline.run_until(3s);
+  killed.dial(VirtualNetwork::address(b, 80));
+  event_queue.run_until(3s);
   ASSERT_TRUE(killed.up());
   right->kill();
-  timeline.run_until(4s);
+  event_queue.run_until(4s);
   EXPECT_TRUE(killed.reset);
   // A machine that is gone says nothing, and what was open is reset when it is back.
   door.reset();
-  right = std::make_unique<Process>(fabric, b, 100);
+  right = std::make_unique<Process>(network, b, 100);
   door = std::make_unique<Talker>(*right, 5);
-  door->listen(Fabric::address(b, 80));
-  lost.dial(Fabric::address(b, 80));
-  timeline.run_until(5s);
+  door->listen(VirtualNetwork::address(b, 80));
+  lost.dial(VirtualNetwork::address(b, 80));
+  event_queue.run_until(5s);
   ASSERT_TRUE(lost.up());
-  fabric.lose(b);
+  network.disconnect(b);
   lost.send(100);
-  timeline.run_until(60s);
+  event_queue.run_until(60s);
   EXPECT_FALSE(lost.reset || lost.ended);
   right->kill();
-  fabric.restore(b);
-  timeline.run_until(70s);
+  network.reconnect(b);
+  event_queue.run_until(70s);
   EXPECT_TRUE(lost.reset);
   // Two sockets and no more descriptors: a third is not given.
   net::Sockets sockets(left, 1000);
@@ -181,8 +182,8 @@
     void readable(bool) override {}
     void writable(bool) override {}
   } nobody;
-  EXPECT_NE(left.connect(Fabric::address(b, 80), nobody).generation, 0u);
-  EXPECT_EQ(left.connect(Fabric::address(b, 80), nobody).generation, 0u);
+  EXPECT_NE(left.connect(VirtualNetwork::address(b, 80), nobody).generation, 0u);
+  EXPECT_EQ(left.connect(VirtualNetwork::address(b, 80), nobody).generation, 0u);
 }
 
 TEST(Histogram, IsOffByFivePerCentAtTheMost) {
@@ -219,21 +220,21 @@
   };
   for (const auto& [text, where] : bad) {
     try {
-      Experiment::of_text(text, "x");
+      Experiment::from_text(text, "x");
       ADD_FAILURE() << "was read: " << text;
-    } catch (const BadFile& e) {
+    } catch (const InputError& e) {
       EXPECT_EQ(std::string(e.what()).substr(0, std::string(where).size()), where) << e.what();
       EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos) << e.what();
     }
   }
-  EXPECT_THROW(Experiment::of_text(kBuiltinDay, "x", "no-such-variant"), BadFile);
+  EXPECT_THROW(Experiment::from_text(kBuiltinExperiment, "x", "no-such-variant"), InputError);
   EXPECT_EQ(experiment("calm").variants.size(), 3u);
 }
 
 TEST(Lab, TheSameSeedIsTheSameRunToTheByte) {
   const Experiment e = experiment("mix");
-  const Keep keep{true, true};
-  const Ran one = run_virtual(e, 7, keep), two = run_virtual(e, 7, keep);
+  const RecordOptions keep{true, true};
+  const RunResult one = run_virtual(e, 7, keep), two = run_virtual(e, 7, keep);
   ASSERT_FALSE(one.outcome.log.empty());
   EXPECT_EQ(one.outcome.log, two.outcome.log);
   EXPECT_EQ(one.node_log, two.node_log);
@@ -243,7 +244,7 @@
     std::vector<std::uint64_t> out;
     run_seeds(
         1, 6, jobs, [&](std::uint64_t seed) { return run_virtual(e, seed); },
-        [&](Ran&& ran) { return out.push_back(ran.outcome.hash), true; });
+        [&](RunResult&& ran) { return out.push_back(ran.outcome.hash), true; });
     return out;
   };
   EXPECT_EQ(hashes(1), hashes(4));
@@ -282,7 +283,7 @@
   const Experiment e = experiment(GetParam());
   run_seeds(
       1, FLINTWEIR_LAB_SEEDS, 4, [&](std::uint64_t seed) { return run_virtual(e, seed); },
-      [&](Ran&& ran) {
+      [&](RunResult&& ran) {
         EXPECT_EQ(broken(ran), "");
         EXPECT_GT(ran.outcome.tally.accepted, 0u);
         return true;
@@ -300,11 +301,11 @@
 class Crowds : public testing::TestWithParam<const char*> {};
 TEST_P(Crowds, KeepEveryRule) {
   const std::string file = std::string(FLINTWEIR_EXPERIMENTS) + "/" + GetParam() + ".toml";
-  const Experiment twin = Experiment::of_file(file, "twin");
+  const Experiment twin = Experiment::from_file(file, "twin");
   for (std::uint64_t seed = 1; seed <= FLINTWEIR_LAB_SEEDS; ++seed)
     EXPECT_EQ(broken(run_virtual(twin, seed)), "") << seed;
   if (FLINTWEIR_LAB_SEEDS < 2) return;  // with sanitizers it takes too long
-  const Ran large = run_virtual(Experiment::of_file(file), 1);
+  const RunResult large = run_virtual(Experiment::from_file(file), 1);
   EXPECT_EQ(broken(large), "");
   EXPECT_GT(large.outcome.tally.accepted, 1000u);
 }
@@ -327,11 +328,11 @@
                     Once{"hosts_die", 5, "arrivals over loads that still grow made cold budgets too large"}));
 
 TEST(Lab, BaselinesPlayTheSameDay) {
-  Experiment e = Experiment::of_text(kBuiltinDay, "day");
+  Experiment e = Experiment::from_text(kBuiltinExperiment, "day");
   const std::uint64_t module = run_virtual(e, 1).outcome.hash;
   for (const char* name : {"random", "round-robin", "least-connections"}) {
     e.node.balancer = name;
-    const Ran ran = run_virtual(e, 1);
+    const RunResult ran = run_virtual(e, 1);
     EXPECT_EQ(ran.failed, "");
     EXPECT_NE(ran.outcome.hash, module);
     EXPECT_GT(ran.outcome.tally.accepted, 100u) << name;
@@ -339,7 +340,7 @@
 }
 
 TEST(Lab, ResultsSurviveTheirFile) {
-  const Experiment e = Experiment::of_text(kBuiltinDay, "day");
+  const Experiment e = Experiment::from_text(kBuiltinExperiment, "day");
   RunSet set(e, "module", 1, 2);
   set.add(run_virtual(e, 1));
   set.add(run_virtual(e, 2));
@@ -388,7 +389,7 @@
     try {
       made(s, z);
       ADD_FAILURE() << "taken: " << says;
-    } catch (const BadFile& e) {
+    } catch (const InputError& e) {
       EXPECT_NE(std::string(e.what()).find(says), std::string::npos) << e.what();
       EXPECT_EQ(std::string(e.what()).find('\n'), std::string::npos);
     }
@@ -408,12 +409,12 @@
 
 // The same models and the same rules against the real program, in real time.
 TEST(Lab, TheRealProgramKeepsTheRulesOnLoopback) {
-  Experiment e = Experiment::of_text(kBuiltinDay, "day");
-  e.lasts = 12s;
+  Experiment e = Experiment::from_text(kBuiltinExperiment, "day");
+  e.duration = 12s;
   e.fleet.hosts = 4;
   e.traffic.clients = 40;
-  e.traffic.load *= 0.8;
-  e.traffic.pause = 1s;
+  e.traffic.mean_load *= 0.8;
+  e.traffic.mean_pause = 1s;
   e.faults.clear();
   e.faults.push_back({"host-hangs", 3s, {}, 2s, 0, 0, "", 0});
   e.faults.push_back({"node-killed", 5s, {}, 1s, 0, 0, "", 1});
@@ -421,12 +422,12 @@
   const auto folder =
       std::filesystem::temp_directory_path() / ("flintweir-lab-test-" + std::to_string(getpid()));
   std::filesystem::create_directories(folder);
-  const Ran ran = run_real(e, 1, {}, {FLINTWEIR_PROGRAM}, folder.string());
+  const RunResult ran = run_real(e, 1, {}, {FLINTWEIR_PROGRAM}, folder.string());
   std::filesystem::remove_all(folder);
   EXPECT_EQ(broken(ran), "");
   EXPECT_GT(ran.outcome.tally.accepted, 20u);
   e.faults[0].kind = "zone-cut";
-  EXPECT_THROW(run_real(e, 1, {}, {FLINTWEIR_PROGRAM}, "/tmp"), BadFile);
+  EXPECT_THROW(run_real(e, 1, {}, {FLINTWEIR_PROGRAM}, "/tmp"), InputError);
 }
 
 }  // namespace
