--- a/src/lab/network/child_process.cpp
+++ b/src/lab/network/child_process.cpp
@@ -10,18 +10,17 @@
 
 namespace flintweir::lab {
 
-ChildProcess::ChildProcess(std::vector<std::string> words, const std::string& log) {
+ChildProcess::ChildProcess(std::vector<std::string> arguments, const std::string& log) {
   const int fd = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   std::vector<char*> args;
-  for (std::string& w : words) args.push_back(w.data());
+  for (std::string& argument : arguments) args.push_back(argument.data());
   args.push_back(nullptr);
   pid_ = fork();
-  if (pid_ < 0) throw std::runtime_error("can't start a process");
+  if (pid_ < 0) throw std::runtime_error("cannot fork a child process");
   if (pid_ == 0) {
     dup2(fd, 1);
     dup2(fd, 2);
-    // The lab's own sockets are none of the program's: held there, they would stay open when the lab closes
-    // them.
+    // The program must not inherit the lab's sockets: they would stay open after the lab closes them.
     close_range(3, ~0u, 0);
     for (const char* variable : {"EDGE_LISTEN", "EDGE_DISCOVERY", "EDGE_NAME", "EDGE_OPERATOR"})
       unsetenv(variable);
--- a/src/lab/network/child_process.h
+++ b/src/lab/network/child_process.h
@@ -1,4 +1,4 @@
-// A process of the real program, with none of the lab's own sockets.
+// A child process that runs a program and inherits none of the lab's open sockets.
 #pragma once
 
 #include <sys/types.h>
@@ -8,16 +8,17 @@
 
 namespace flintweir::lab {
 
-// Runs from its making; killed with its last user at the latest.
+// Starts the program on construction; the destructor kills it with SIGKILL and waits for it.
 class ChildProcess {
  public:
-  // What it writes goes to the end of `log`. Throws std::runtime_error.
-  ChildProcess(std::vector<std::string> words, const std::string& log);
+  // Runs `arguments`, whose first is the program. Its standard output and error are appended to the file
+  // `log`. Throws std::runtime_error if the process cannot be forked.
+  ChildProcess(std::vector<std::string> arguments, const std::string& log);
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
 
-  void signal(int number);  // nothing where it has ended
-  bool running();
+  void signal(int number);  // no effect once the process has ended
+  bool running();           // also reaps the process once it has ended
   pid_t pid() const { return pid_; }
 
  private:
--- a/src/lab/network/datagram_faults.h
+++ b/src/lab/network/datagram_faults.h
@@ -1,5 +1,5 @@
-// What becomes of a datagram on one way from one machine to another: loss, late, duplication, corruption. One
-// way of drawing it for the virtual network and for the relays between real processes.
+// Faults of datagrams on one direction between two machines: loss, delay, duplication, corruption and replay.
+// The virtual network and the relays between real processes draw them with the same function.
 #pragma once
 
 #include <random>
@@ -12,39 +12,43 @@
 
 namespace flintweir::lab {
 
+// `loss`, `duplication`, `corruption` and `replay` are probabilities for each datagram.
 struct DatagramFaults {
   double loss = 0, duplication = 0;
-  double corruption = 0;  // a byte changed, or blocked short
-  double replay = 0;      // comes once more, `replay_delay` later
-  Micros extra_delay{0}, jitter{0}, replay_delay{10'000'000};
-  bool blocked = false;
+  double corruption = 0;  // one byte is changed, or the datagram is truncated
+  double replay = 0;      // a second copy arrives after `replay_delay`
+  Micros extra_delay{0};
+  Micros jitter{0};  // largest random addition to `extra_delay`
+  Micros replay_delay{10'000'000};
+  bool blocked = false;  // no datagram arrives
 };
 
-// The copies that arrive, each after so long. Chance is drawn only for what the way does.
-inline std::vector<std::pair<Micros, std::string>> delivered_copies(const DatagramFaults& way,
-                                                                    std::knuth_b& chance,
+// Returns the copies of a datagram that arrive, each with its delay. Random numbers are drawn only for
+// faults with a nonzero value, so that a fault that is off does not change the sequence of the others.
+inline std::vector<std::pair<Micros, std::string>> delivered_copies(const DatagramFaults& faults,
+                                                                    std::knuth_b& rng,
                                                                     std::string_view bytes) {
   std::vector<std::pair<Micros, std::string>> out;
-  const auto drawn = [&](double share) {
-    return share > 0 && std::generate_canonical<double, 32>(chance) < share;
+  const auto occurs = [&](double probability) {
+    return probability > 0 && std::generate_canonical<double, 32>(rng) < probability;
   };
-  if (way.blocked || drawn(way.loss)) return out;
-  const auto late = [&] {
-    const double part = way.jitter > Micros{0} ? std::generate_canonical<double, 32>(chance) : 0;
-    return way.extra_delay +
-           Micros{static_cast<std::int64_t>(static_cast<double>(way.jitter.count()) * part)};
+  if (faults.blocked || occurs(faults.loss)) return out;
+  const auto draw_delay = [&] {
+    const double fraction = faults.jitter > Micros{0} ? std::generate_canonical<double, 32>(rng) : 0;
+    return faults.extra_delay +
+           Micros{static_cast<std::int64_t>(static_cast<double>(faults.jitter.count()) * fraction)};
   };
   std::string text(bytes);
-  if (!text.empty() && drawn(way.corruption)) {
-    const std::size_t at = chance() % text.size();
-    if (chance() % 2)
+  if (!text.empty() && occurs(faults.corruption)) {
+    const std::size_t at = rng() % text.size();
+    if (rng() % 2)
       text.resize(at);
     else
-      text[at] = static_cast<char>(text[at] ^ static_cast<char>(1 + chance() % 255));
+      text[at] = static_cast<char>(text[at] ^ static_cast<char>(1 + rng() % 255));
   }
-  out.emplace_back(late(), text);
-  if (drawn(way.duplication)) out.emplace_back(late(), text);
-  if (drawn(way.replay)) out.emplace_back(way.replay_delay, text);
+  out.emplace_back(draw_delay(), text);
+  if (occurs(faults.duplication)) out.emplace_back(draw_delay(), text);
+  if (occurs(faults.replay)) out.emplace_back(faults.replay_delay, text);
   return out;
 }
 
--- a/src/lab/network/event_queue.h
+++ b/src/lab/network/event_queue.h
@@ -1,4 +1,4 @@
-// The virtual clock and all that is due on it.
+// The clock of a simulation and the queue of its scheduled events.
 #pragma once
 
 #include <algorithm>
@@ -10,40 +10,42 @@
 
 namespace flintweir::lab {
 
+// Runs callbacks in the order of their times and advances the clock to each. Single-threaded.
 class EventQueue {
  public:
   using Callback = std::function<void()>;
   explicit EventQueue(Micros start) : now_(start) {}
   Micros now() const { return now_; }
-  // What is due at the same time comes in the order in which it was asked for.
+  // Events of the same time run in the order in which they were scheduled. A time in the past means now.
   void schedule_at(Micros when, Callback callback) {
-    heap_.push_back({std::max(when, now_), order_++, std::move(callback)});
+    heap_.push_back({std::max(when, now_), next_order_++, std::move(callback)});
     std::push_heap(heap_.begin(), heap_.end());
   }
-  void schedule_after(Micros in, Callback callback) { schedule_at(now_ + in, std::move(callback)); }
+  void schedule_after(Micros delay, Callback callback) { schedule_at(now_ + delay, std::move(callback)); }
+  // Runs all events up to and including `end`, also those scheduled meanwhile, and sets the clock to `end`.
   void run_until(Micros end) {
     while (!heap_.empty() && heap_.front().at <= end) {
       std::pop_heap(heap_.begin(), heap_.end());
-      Due due = std::move(heap_.back());
+      Event event = std::move(heap_.back());
       heap_.pop_back();
-      now_ = due.at;
+      now_ = event.at;
       ++executed_;
-      due.callback();
+      event.callback();
     }
     now_ = std::max(now_, end);
   }
-  std::uint64_t executed() const { return executed_; }
+  std::uint64_t executed() const { return executed_; }  // number of events run so far
 
  private:
-  struct Due {
+  struct Event {
     Micros at;
     std::uint64_t order;
     Callback callback;
-    bool operator<(const Due& o) const { return at != o.at ? at > o.at : order > o.order; }
+    bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
   Micros now_;
-  std::uint64_t order_ = 0, executed_ = 0;
-  std::vector<Due> heap_;
+  std::uint64_t next_order_ = 0, executed_ = 0;
+  std::vector<Event> heap_;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/network/loopback_environment.cpp
+++ b/src/lab/network/loopback_environment.cpp
@@ -14,19 +14,20 @@
 
 using namespace std::chrono_literals;
 
-// A port that is free at this address just now. Each machine has an address of its own, so that nobody else
-// of the run can take it.
-std::uint16_t free_port(const Address& a) {
+// Returns a port that is currently free at this address. Each machine has its own address, so that no other
+// machine of the run can take the port in the meantime.
+std::uint16_t free_port(const Address& address) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  std::memcpy(&at.sin_addr.s_addr, a.bytes.data(), 4);
-  socklen_t size = sizeof at;
-  const bool ok = fd >= 0 && bind(fd, reinterpret_cast<sockaddr*>(&at), sizeof at) == 0 &&
-                  getsockname(fd, reinterpret_cast<sockaddr*>(&at), &size) == 0;
+  sockaddr_in socket_address{};
+  socket_address.sin_family = AF_INET;
+  std::memcpy(&socket_address.sin_addr.s_addr, address.bytes.data(), 4);
+  socklen_t size = sizeof socket_address;
+  const bool ok = fd >= 0 &&
+                  bind(fd, reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) == 0 &&
+                  getsockname(fd, reinterpret_cast<sockaddr*>(&socket_address), &size) == 0;
   if (fd >= 0) ::close(fd);
-  if (!ok) throw std::runtime_error("no port is free at " + to_text(a));
-  return ntohs(at.sin_port);
+  if (!ok) throw std::runtime_error("no free port at " + to_text(address));
+  return ntohs(socket_address.sin_port);
 }
 
 }  // namespace
@@ -37,10 +38,10 @@
 }
 
 void LoopbackEnvironment::run_until(Micros end) {
-  constexpr Micros kTurn = 2ms;
+  constexpr Micros kPollInterval = 2ms;  // longest delay of a scheduled event
   while (now() < end) {
     event_queue_.run_until(now());
-    clock_.run_for(std::min(kTurn, std::max(end - now(), 0us)));
+    clock_.run_for(std::min(kPollInterval, std::max(end - now(), 0us)));
   }
   event_queue_.run_until(now());
 }
@@ -60,30 +61,30 @@
   return *networks_.emplace_back(std::make_unique<net::KernelNetwork>(clock_));
 }
 
-// It stays, so that what the event loop still holds for it finds it.
+// The network object is kept until the environment ends, because the event loop may still refer to it.
 void LoopbackEnvironment::end_process(net::Network& process) {
   for (const auto& n : networks_)
     if (n.get() == &process) n->shut_down();
 }
 
-std::string LoopbackEnvironment::file(NodeNo node) const {
+std::string LoopbackEnvironment::config_file(NodeNo node) const {
   return folder_ + "/n" + std::to_string(node.value) + ".json";
 }
 
-void LoopbackEnvironment::write(NodeNo node, const std::string& config) const {
-  std::ofstream out(file(node), std::ios::trunc);
+void LoopbackEnvironment::write_config(NodeNo node, const std::string& config) const {
+  std::ofstream out(config_file(node), std::ios::trunc);
   out << config;
   out.close();
-  if (!out) throw std::runtime_error("can't write " + file(node));
+  if (!out) throw std::runtime_error("cannot write " + config_file(node));
 }
 
 void LoopbackEnvironment::start_node(NodeNo node, MachineId, const std::string& config,
                                      const std::vector<MachineId>&) {
-  write(node, config);
-  const std::string log = file(node) + ".log", path = file(node);
-  std::vector<std::string> words = program_;
-  words.insert(words.end(), {"serve", "--config", path});
-  nodes_[node.value] = std::make_unique<ChildProcess>(std::move(words), log);
+  write_config(node, config);
+  const std::string log = config_file(node) + ".log", path = config_file(node);
+  std::vector<std::string> arguments = program_;
+  arguments.insert(arguments.end(), {"serve", "--config", path});
+  nodes_[node.value] = std::make_unique<ChildProcess>(std::move(arguments), log);
 }
 
 void LoopbackEnvironment::kill_node(NodeNo node) { nodes_.erase(node.value); }
@@ -94,7 +95,7 @@
 
 void LoopbackEnvironment::reload_node(NodeNo node, const std::string& config) {
   if (!running(node)) return;
-  write(node, config);
+  write_config(node, config);
   nodes_[node.value]->signal(SIGHUP);
 }
 
--- a/src/lab/network/loopback_environment.h
+++ b/src/lab/network/loopback_environment.h
@@ -1,5 +1,5 @@
-// The stage in real time: the lab's clients, hosts and discovery on loopback sockets, and each node a process
-// of the real program. What it starts it ends.
+// The environment in real time: the lab's clients, hosts and discovery use loopback sockets, and each node is
+// a process of the real program. The destructor ends all processes that it started.
 #pragma once
 
 #include <map>
@@ -15,12 +15,12 @@
 
 class LoopbackEnvironment final : public Environment {
  public:
-  // `program` is run as `program serve --config FILE`; its log goes to FILE.log in `folder`.
+  // Each node runs `program serve --config FILE` and logs to FILE.log; the files are in `folder`.
   LoopbackEnvironment(std::vector<std::string> program, std::string folder);
 
   Micros now() const override { return clock_.now(); }
-  void schedule_at(Micros when, std::function<void()> act) override {
-    event_queue_.schedule_at(when, std::move(act));
+  void schedule_at(Micros when, std::function<void()> callback) override {
+    event_queue_.schedule_at(when, std::move(callback));
   }
   void run_until(Micros end) override;
   MachineId add_machine(ZoneId zone) override;
@@ -34,18 +34,18 @@
   void reload_node(NodeNo node, const std::string& config) override;
   bool running(NodeNo node) override;
 
-  // A busy machine is late, also where the network is not.
+  // 10 ms allow for scheduling delays of a busy machine; loopback itself has almost no latency.
   Micros max_delay(MachineId, MachineId) const override { return std::chrono::milliseconds(10); }
   bool healthy_since(MachineId, MachineId, Micros) const override { return true; }
 
  private:
-  std::string file(NodeNo node) const;
-  void write(NodeNo node, const std::string& config) const;
+  std::string config_file(NodeNo node) const;
+  void write_config(NodeNo node, const std::string& config) const;
 
   net::KernelNetwork clock_;
   EventQueue event_queue_;
   std::vector<std::string> program_;
-  std::string folder_;
+  std::string folder_;  // of the configuration and log files
   std::vector<Address> addresses_;
   std::vector<std::unique_ptr<net::KernelNetwork>> networks_;
   std::map<std::uint32_t, std::unique_ptr<ChildProcess>> nodes_;
--- a/src/lab/network/virtual_environment.cpp
+++ b/src/lab/network/virtual_environment.cpp
@@ -7,19 +7,21 @@
 
 using namespace std::chrono_literals;
 
-constexpr Micros kStart{1'700'000'000'000'000};  // any time far from zero
-constexpr Micros kMends = 2500ms;  // until all that was lost has been sent again, and seen to be
+constexpr std::uint16_t kMembershipPort = 7946;
+constexpr Micros kStart{1'700'000'000'000'000};  // an arbitrary Unix time far from zero
+// Time after the end of a network fault until lost data has been retransmitted and has had its effect.
+constexpr Micros kRecoveryTime = 2500ms;
 
 }  // namespace
 
 VirtualEnvironment::VirtualEnvironment(LinkModel link_model, std::uint64_t seed, std::size_t descriptors,
-                                       node::BalancerFactory make, std::string* logged)
+                                       node::BalancerFactory balancer_factory, std::string* node_log)
     : link_model_(link_model),
       event_queue_(kStart),
       network_(event_queue_, link_model, seed),
       descriptors_(descriptors),
-      make_(std::move(make)),
-      logged_(logged) {
+      balancer_factory_(std::move(balancer_factory)),
+      node_log_(node_log) {
   net::set_log_sink(this);
 }
 
@@ -32,12 +34,12 @@
 }
 
 void VirtualEnvironment::write_line(const char* text) {
-  if (logged_) *logged_ += std::to_string((now() - kStart).count()) + ' ' + text + '\n';
+  if (node_log_) *node_log_ += std::to_string((now() - kStart).count()) + ' ' + text + '\n';
 }
 
 MachineId VirtualEnvironment::add_machine(ZoneId zone) {
   zones_.push_back(zone);
-  lost_until_.push_back(Micros::min());
+  disconnected_until_.push_back(Micros::min());
   return network_.add_machine(zone);
 }
 
@@ -55,16 +57,16 @@
 
 void VirtualEnvironment::start_node(NodeNo node, MachineId machine, const std::string& config,
                                     const std::vector<MachineId>& seeds) {
-  NodeAt& n = nodes_[node.value];
+  RunningNode& n = nodes_[node.value];
   n.process = std::make_unique<Process>(network_, machine, descriptors_);
-  n.node = std::make_unique<node::Node>(*n.process, *node::NodeConfig::from_text(config), make_);
+  n.node = std::make_unique<node::Node>(*n.process, *node::NodeConfig::from_text(config), balancer_factory_);
   if (!seeds.empty()) {
-    const auto hears = [](MachineId m) { return VirtualNetwork::address(m, 7946); };
-    setup::OperatorFile own;
-    setup::FleetSection& fleet = own.fleet.emplace(
-        setup::FleetSection{"lab", "", hears(machine), hears(machine), {}, 300ms, 1h, 4096});
-    for (const MachineId s : seeds) fleet.seeds.push_back(hears(s));
-    n.node->join_fleet(own, "n" + std::to_string(node.value), "lab",
+    const auto member_address = [](MachineId m) { return VirtualNetwork::address(m, kMembershipPort); };
+    setup::OperatorFile operator_file;
+    setup::FleetSection& fleet = operator_file.fleet.emplace(setup::FleetSection{
+        "lab", "", member_address(machine), member_address(machine), {}, 300ms, 1h, 4096});
+    for (const MachineId s : seeds) fleet.seeds.push_back(member_address(s));
+    n.node->join_fleet(operator_file, "n" + std::to_string(node.value), "lab",
                        machine.value + std::uint64_t(now().count()));
   }
   n.node->serve();
@@ -94,32 +96,32 @@
 }
 
 void VirtualEnvironment::disconnect(MachineId machine) {
-  lost_until_[machine.value] = Micros::max();
+  disconnected_until_[machine.value] = Micros::max();
   network_.disconnect(machine);
 }
 
 void VirtualEnvironment::reconnect(MachineId machine) {
-  lost_until_[machine.value] = now();
+  disconnected_until_[machine.value] = now();
   network_.reconnect(machine);
 }
 
 void VirtualEnvironment::block(ZoneId from, ZoneId to) {
-  cut_until_[{from.value, to.value}] = Micros::max();
+  blocked_until_[{from.value, to.value}] = Micros::max();
   network_.block(from, to);
 }
 
 void VirtualEnvironment::unblock(ZoneId from, ZoneId to) {
-  cut_until_[{from.value, to.value}] = now();
+  blocked_until_[{from.value, to.value}] = now();
   network_.unblock(from, to);
 }
 
-void VirtualEnvironment::degrade(MachineId a, MachineId b, Micros longer, double lost) {
-  bad_until_[std::minmax(a.value, b.value)] = Micros::max();
-  network_.degrade(a, b, longer, lost);
+void VirtualEnvironment::degrade(MachineId a, MachineId b, Micros extra_delay, double loss) {
+  degraded_until_[std::minmax(a.value, b.value)] = Micros::max();
+  network_.degrade(a, b, extra_delay, loss);
 }
 
 void VirtualEnvironment::clear_degradation(MachineId a, MachineId b) {
-  bad_until_[std::minmax(a.value, b.value)] = now();
+  degraded_until_[std::minmax(a.value, b.value)] = now();
   network_.clear_degradation(a, b);
 }
 
@@ -130,14 +132,15 @@
 
 bool VirtualEnvironment::healthy_since(MachineId a, MachineId b, Micros since) const {
   if (a == b) return true;
-  Micros until = std::max(lost_until_[a.value], lost_until_[b.value]);
+  Micros until = std::max(disconnected_until_[a.value], disconnected_until_[b.value]);
   const std::uint32_t x = zones_[a.value].value, y = zones_[b.value].value;
-  for (const auto& way : {std::pair(x, y), {y, x}}) {
-    if (const auto it = cut_until_.find(way); it != cut_until_.end()) until = std::max(until, it->second);
+  for (const auto& direction : {std::pair(x, y), {y, x}}) {
+    if (const auto it = blocked_until_.find(direction); it != blocked_until_.end())
+      until = std::max(until, it->second);
   }
-  if (const auto it = bad_until_.find(std::minmax(a.value, b.value)); it != bad_until_.end())
+  if (const auto it = degraded_until_.find(std::minmax(a.value, b.value)); it != degraded_until_.end())
     until = std::max(until, it->second);
-  return until == Micros::min() || (until != Micros::max() && until + kMends < since);
+  return until == Micros::min() || (until != Micros::max() && until + kRecoveryTime < since);
 }
 
 }  // namespace flintweir::lab
--- a/src/lab/network/virtual_environment.h
+++ b/src/lab/network/virtual_environment.h
@@ -1,4 +1,5 @@
-// The stage in virtual time: the node's own code on the lab's network, many nodes in one process.
+// The environment in virtual time: the node's own code on the simulated network, with many nodes in one
+// process.
 #pragma once
 
 #include <map>
@@ -12,14 +13,16 @@
 
 class VirtualEnvironment final : public Environment, net::LogSink {
  public:
-  // `descriptors`: that a node's process may hold. What nodes log goes to `logged`, unless that is null.
+  // `descriptors` is the limit of open descriptors of each node's process. Log lines of the nodes are
+  // appended to `node_log`, each after the microseconds since the start, unless it is null. While this object
+  // exists it is the log sink of the whole process.
   VirtualEnvironment(LinkModel link_model, std::uint64_t seed, std::size_t descriptors,
-                     node::BalancerFactory make, std::string* logged);
+                     node::BalancerFactory balancer_factory, std::string* node_log);
   ~VirtualEnvironment() override;
 
   Micros now() const override { return event_queue_.now(); }
-  void schedule_at(Micros when, std::function<void()> act) override {
-    event_queue_.schedule_at(when, std::move(act));
+  void schedule_at(Micros when, std::function<void()> callback) override {
+    event_queue_.schedule_at(when, std::move(callback));
   }
   void run_until(Micros end) override { event_queue_.run_until(end); }
   MachineId add_machine(ZoneId zone) override;
@@ -37,16 +40,17 @@
   void reconnect(MachineId machine) override;
   void block(ZoneId from, ZoneId to) override;
   void unblock(ZoneId from, ZoneId to) override;
-  void degrade(MachineId a, MachineId b, Micros longer, double lost) override;
+  void degrade(MachineId a, MachineId b, Micros extra_delay, double loss) override;
   void clear_degradation(MachineId a, MachineId b) override;
 
   Micros max_delay(MachineId a, MachineId b) const override;
   bool healthy_since(MachineId a, MachineId b, Micros since) const override;
 
+  // Number of events run so far.
   std::uint64_t steps() const { return event_queue_.executed(); }
 
  private:
-  struct NodeAt {
+  struct RunningNode {
     std::unique_ptr<Process> process;
     std::unique_ptr<node::Node> node;
   };
@@ -56,13 +60,16 @@
   EventQueue event_queue_;
   VirtualNetwork network_;
   std::size_t descriptors_;
-  node::BalancerFactory make_;
-  std::string* logged_;
-  std::vector<ZoneId> zones_;       // of machines
-  std::vector<Micros> lost_until_;  // of machines: the end of their last loss
-  std::map<std::pair<std::uint32_t, std::uint32_t>, Micros> cut_until_, bad_until_;
+  node::BalancerFactory balancer_factory_;
+  std::string* node_log_;
+  // By machine: its zone, and the end of its last disconnection (min: none yet, max: still disconnected).
+  std::vector<ZoneId> zones_;
+  std::vector<Micros> disconnected_until_;
+  // The end of the last fault of a direction between zones, and of the link between two machines; max: it
+  // still lasts.
+  std::map<std::pair<std::uint32_t, std::uint32_t>, Micros> blocked_until_, degraded_until_;
   std::vector<std::unique_ptr<Process>> processes_;
-  std::map<std::uint32_t, NodeAt> nodes_;
+  std::map<std::uint32_t, RunningNode> nodes_;
 };
 
 }  // namespace flintweir::lab
