--- a/src/lab/faults/builtin_experiment.h
+++ b/src/lab/faults/builtin_experiment.h
@@ -1,5 +1,5 @@
-// The day that `flintweir-lab run` plays without a file: a few nodes and hosts, a deploy, a host that dies,
-// clients that drop.
+// The experiment that `flintweir-lab run` uses when no file is given: a few nodes and hosts, a deployment, a
+// host failure, and clients that disconnect.
 #pragma once
 
 namespace flintweir::lab {
--- a/src/lab/faults/faults.h
+++ b/src/lab/faults/faults.h
@@ -1,5 +1,5 @@
-// The faults of one run, drawn from its seed: what breaks, when and for how long. A run is the same whatever
-// part of them is left out, so that a failing one can be made smaller.
+// The faults of one run, drawn from its seed: kind, target, time and duration. Leaving out some of them does
+// not change what else is random in the run, so that a failing run can be reduced to the faults that matter.
 #pragma once
 
 #include <set>
@@ -12,22 +12,24 @@
 namespace flintweir::lab {
 
 struct Fault {
-  Micros at;  // from the start
+  Micros at;  // since the start of the run
   std::string kind;
-  std::uint32_t target;  // a host, node or zone; else zero
+  std::uint32_t target;  // number of the host, node or zone; zero for other kinds
   Micros duration;
   double share, magnitude;
 };
 
-// The seed of one part of a run, such as its nth client. Neighbouring seeds of runs share none of them: with
-// sums of both, a run would have all but one of its clients from the run before.
+// Derives the seed of the `n`th item of one part of a run, such as its nth client. The values are hashed
+// rather than added: with sums, a run would share all but one of its clients' seeds with the run of the next
+// seed.
 inline std::uint64_t derive_seed(std::uint64_t seed, std::uint64_t part, std::uint64_t n = 0) {
   return mix(mix(mix(seed + 0x9e3779b97f4a7c15ull) + part * 0xd1342543de82ef95ull) + n + 1);
 }
 
+// The fault's time, kind, target and duration, as event log, report and fault list show it.
 std::string to_text(const Fault& fault, const FleetPlan& fleet);
-// In the order of their times.
-std::vector<Fault> draw_faults(const std::vector<FaultPlan>& plans, const FleetPlan& fleet, Micros lasts,
-                               std::uint64_t seed);
+// Draws the faults of a run of length `run_duration`, in the order of their times.
+std::vector<Fault> draw_faults(const std::vector<FaultPlan>& plans, const FleetPlan& fleet,
+                               Micros run_duration, std::uint64_t seed);
 
 }  // namespace flintweir::lab
--- a/src/lab/faults/input_error.h
+++ b/src/lab/faults/input_error.h
@@ -1,4 +1,5 @@
-// What is wrong with a file that somebody wrote, in one line: file, line, field, reason.
+// An error in a file, command-line argument or other input of the user. The message is one line; for a file
+// it consists of file, line, field and reason.
 #pragma once
 
 #include <stdexcept>
--- a/src/lab/faults/plan.cpp
+++ b/src/lab/faults/plan.cpp
@@ -16,13 +16,13 @@
                                 : Effect::repeatable;
 }
 
-DedupScope reach_of(const std::string& name) {
+DedupScope dedup_scope_of(const std::string& name) {
   return name == "zone" ? DedupScope::zone : name == "cell" ? DedupScope::cell : DedupScope::all;
 }
 
-void pair_of(TableReader& f, std::string_view key, Micros (&out)[2], Micros least, Micros most) {
+void read_range(TableReader& f, std::string_view key, Micros (&out)[2], Micros least, Micros most) {
   const auto both = f.durations(key, {least, most}, 2);
-  if (both[0] > both[1]) f.fail(key, "has its larger time first");
+  if (both[0] > both[1]) f.fail(key, "has the larger duration first");
   out[0] = both[0];
   out[1] = both[1];
 }
@@ -41,7 +41,7 @@
     k.reject_unknown_keys();
   }
   if (out.kinds.empty()) out.kinds.push_back({1, 2, 1});
-  if (f.has("kind") && all <= 0) f.fail("kind", "has no share over zero");
+  if (f.has("kind") && all <= 0) f.fail("kind", "needs a share above zero");
   f.reject_unknown_keys();
   return out;
 }
@@ -60,7 +60,7 @@
       if (found == zones.end()) p.fail("between", "there is no zone '" + name + "'");
       both.push_back({static_cast<std::uint32_t>(found - zones.begin())});
     }
-    if (both.size() != 2 || both[0] == both[1]) p.fail("between", "does not name two zones");
+    if (both.size() != 2 || both[0] == both[1]) p.fail("between", "must name two different zones");
     out.pairs.push_back({both[0], both[1], p.duration("one_way", out.across)});
     p.reject_unknown_keys();
   }
@@ -77,15 +77,15 @@
 
 HostPlan host_of(TableReader f) {
   HostPlan out;
-  pair_of(f, "answers", out.response_delay, 4ms, 20ms);
+  read_range(f, "answers", out.response_delay, 4ms, 20ms);
   out.service_time = f.duration("serves", 3ms);
   out.report_interval = f.duration("refresh", 500ms, 10ms);
   out.max_connections = f.count("connections", 400, 1, 100000);
   out.group_cost = f.number("group_cost", 0, 0, 100);
-  const std::string away = f.string("sends_away", "bit by bit", {"at once", "bit by bit", "keeps"});
-  out.drain_policy = away == "at once" ? DrainPolicy::move_at_once
-                     : away == "keeps" ? DrainPolicy::keep
-                                       : DrainPolicy::move_gradually;
+  const std::string drain_policy = f.string("sends_away", "bit by bit", {"at once", "bit by bit", "keeps"});
+  out.drain_policy = drain_policy == "at once" ? DrainPolicy::move_at_once
+                     : drain_policy == "keeps" ? DrainPolicy::keep
+                                               : DrainPolicy::move_gradually;
   out.drain_duration = f.duration("leaves_after", 6s);
   out.drain_grace = f.duration("grace", 300ms);
   f.reject_unknown_keys();
@@ -94,7 +94,7 @@
 
 ListPlan list_of(TableReader f) {
   ListPlan out;
-  pair_of(f, "late", out.update_delay, 500ms, 2s);
+  read_range(f, "late", out.update_delay, 500ms, 2s);
   out.poll_interval = f.duration("ask_every", 10s, 100ms);
   out.only_draining_binds = f.boolean("only_draining_binds", false);
   f.reject_unknown_keys();
@@ -104,7 +104,7 @@
 FrontPlan front_of(TableReader f) {
   FrontPlan out;
   out.check_interval = f.duration("check_every", 500ms, 10ms);
-  pair_of(f, "notices", out.failure_detection_delay, 1s, 2500ms);
+  read_range(f, "notices", out.failure_detection_delay, 1s, 2500ms);
   f.reject_unknown_keys();
   return out;
 }
@@ -113,14 +113,14 @@
   ListenerPlan out;
   out.name = f.string("name", "");
   if (out.name.empty() || out.name.find_first_of(" ,=\"") != out.name.npos)
-    f.fail("name", "is missing or no word");
+    f.fail("name", "is missing, or contains a space, comma, equals sign or quotation mark");
   out.share = f.number("share", 1, 0, 1e6);
   out.rules.handshake_target = f.duration("handshake_target", 500ms, 1ms);
   out.rules.dial_timeout = f.duration("dial_timeout", 2s, 1ms);
   if (out.rules.dial_timeout < out.rules.handshake_target)
-    f.fail("dial_timeout", "is under the handshake target");
+    f.fail("dial_timeout", "is less than the handshake target");
   out.rules.effect = effect_of(f.string("effect", "repeatable", {"repeatable", "referenced", "once-only"}));
-  out.rules.dedup_scope = reach_of(f.string("reach", "all", {"all", "zone", "cell"}));
+  out.rules.dedup_scope = dedup_scope_of(f.string("reach", "all", {"all", "zone", "cell"}));
   out.rules.dedup_window = f.duration("memory", 2s);
   out.rules.utility = f.number("utility", 1, 0, 1e6);
   out.load_factor = f.number("load", 1, 0.001, 1000);
@@ -140,11 +140,11 @@
   out.message_interval = f.duration("speaks_every", 2s, 1ms);
   out.message_bytes[0] = f.count("line_least", 24, 24, 4000);
   out.message_bytes[1] = f.count("line_most", 400, 24, 4000);
-  if (out.message_bytes[0] > out.message_bytes[1]) f.fail("line_most", "is under line_least");
+  if (out.message_bytes[0] > out.message_bytes[1]) f.fail("line_most", "is less than line_least");
   out.groups = f.count("groups", 0, 0, 100000);
   out.retries = f.count("retries", 2, 0, 100);
   out.retry_delay = f.duration("retry_after", 200ms);
-  pair_of(f, "returns", out.reconnect_delay, 100ms, 800ms);
+  read_range(f, "returns", out.reconnect_delay, 100ms, 800ms);
   out.retry_after_compliance = f.number("honours", 1, 0, 1);
   out.early_leave_share = f.number("leaves", 0, 0, 1);
   out.misbehaving_clients = f.count("rude", 0, 0, 1000);
@@ -158,7 +158,7 @@
     out.listeners.push_back(
         {"chat", 1, {500ms, 2s, Effect::repeatable, DedupScope::all, 2s, 1, 150ms}, 1, 1});
   else if (all <= 0)
-    listeners.back().fail("share", "no listener has a share over zero");
+    listeners.back().fail("share", "at least one listener needs a share above zero");
   return out;
 }
 
@@ -187,7 +187,8 @@
   if (out.kind.empty()) f.fail("kind", "is missing");
   if (f.has("at")) out.at = f.duration("at", 0us);
   if (f.has("every")) out.every = f.duration("every", 0us, 1ms);
-  if (out.at.has_value() == out.every.has_value()) f.fail("at", "needs either 'at' or 'every', and not both");
+  if (out.at.has_value() == out.every.has_value())
+    f.fail("at", "exactly one of 'at' and 'every' is required");
   out.duration = f.duration("lasts", 5s, 1ms);
   out.share = f.number("share", 0, 0, 1);
   out.magnitude = f.number("size", 0.5, 0, 1000);
@@ -198,15 +199,15 @@
         std::find_if(fault_kinds().begin(), fault_kinds().end(), [&](const auto& k) {
           return k.name == out.kind;
         })->target_kind;
-    bool there = false;
+    bool found = false;
     if (target_kind == "zone" || target_kind == "host")
-      there = std::find(fleet.zones.begin(), fleet.zones.end(), out.target_name) != fleet.zones.end();
-    const auto among = [&](const char* prefix, unsigned count) {
-      for (unsigned i = 0; i < count; ++i) there = there || out.target_name == prefix + std::to_string(i);
+      found = std::find(fleet.zones.begin(), fleet.zones.end(), out.target_name) != fleet.zones.end();
+    const auto match_numbered = [&](const char* prefix, unsigned count) {
+      for (unsigned i = 0; i < count; ++i) found = found || out.target_name == prefix + std::to_string(i);
     };
-    if (target_kind == "host") among("s-", fleet.hosts);
-    if (target_kind == "node") among("n", fleet.nodes);
-    if (!there)
+    if (target_kind == "host") match_numbered("s-", fleet.hosts);
+    if (target_kind == "node") match_numbered("n", fleet.nodes);
+    if (!found)
       f.fail("where", "there is no " + std::string(target_kind) +
                           (target_kind == "host" ? " or zone '" : " '") + out.target_name + "'");
   }
@@ -214,8 +215,8 @@
   return out;
 }
 
-// Puts a variant's values where the file's are; its keys are paths with dots.
-void change(toml::table& whole, const toml::table& values, const std::string& file) {
+// Replaces values of the file by those of a variant, whose keys are dotted paths.
+void apply_variant(toml::table& whole, const toml::table& values, const std::string& file) {
   for (const auto& [key, value] : values) {
     toml::table* at = &whole;
     std::string_view rest = key.str();
@@ -225,7 +226,7 @@
       at = at->get(name)->as_table();
       if (!at)
         throw InputError(file + ":" + std::to_string(key.source().begin.line) + ": variant: '" +
-                         std::string(key.str()) + "' goes through what is no table");
+                         std::string(key.str()) + "' passes through a value that is not a table");
     }
     value.visit([&](const auto& v) { at->insert_or_assign(rest, v); });
   }
@@ -253,7 +254,7 @@
       for (const toml::table* t : chosen) c.push_back(*t);
       return c;
     }();
-    for (const toml::table& t : copies) change(whole, t, file);
+    for (const toml::table& t : copies) apply_variant(whole, t, file);
   }
   TableReader top(whole, "", file);
   top.tables("variant");
