--- a/apps/flintweir_lab.cpp
+++ b/apps/flintweir_lab.cpp
@@ -20,10 +20,10 @@
 #include "lab/checks/interleaving.h"
 #include "lab/faults/builtin_experiment.h"
 #include "lab/faults/input_error.h"
-#include "lab/fleet/change_rig.h"
-#include "lab/fleet/hollow.h"
-#include "lab/fleet/rig.h"
-#include "lab/fleet/scale_node.h"
+#include "lab/fleet/change_experiment.h"
+#include "lab/fleet/in_process_fleet.h"
+#include "lab/fleet/membership_experiment.h"
+#include "lab/fleet/node_scaling.h"
 #include "lab/leases/lease_rig.h"
 #include "lab/leases/lease_search.h"
 #include "lab/reports/capacity.h"
@@ -86,8 +86,9 @@
 struct RunWays {
   unsigned jobs = 1;
   bool real = false, until_broken = false, keep_logs = false;
-  unsigned holders = 4;           // that want one lease, in virtual time
-  std::optional<PlainWay> plain;  // an experiment on the fleet's view: how nodes know each other instead
+  unsigned holders = 4;  // that want one lease, in virtual time
+  std::optional<BaselineProtocol>
+      plain;  // an experiment on the fleet's view: how nodes know each other instead
   std::vector<std::string> program;
   fs::path out;
 };
@@ -172,14 +173,14 @@
 // An experiment on the fleet's own view: its rules and figures, a line each.
 int run_fleet(const std::string& file, const std::string& variant, Seeds seeds, const RunWays& ways,
               const std::string& only) {
-  const RigPlan plan = RigPlan::of_file(file, variant);
+  const MembershipPlan plan = MembershipPlan::from_file(file, variant);
   std::vector<double> joined, known, join_known, settled, rest;
   std::uint64_t called_failed = 0, looks = 0, runs = 0, broken = 0;
   double virtual_seconds = 0;
   std::mutex mutex;
   std::atomic<std::uint64_t> next{seeds.first};
   std::atomic<bool> enough{false};
-  std::map<std::uint64_t, RigOutcome> outcomes;
+  std::map<std::uint64_t, MembershipResult> outcomes;
   std::map<std::string, unsigned> by_rule;
   std::string failed;
   const auto began = std::chrono::steady_clock::now();
@@ -188,19 +189,19 @@
       try {
         std::string log;
         const bool keep = ways.keep_logs && !ways.out.empty();
-        RigOutcome one;
+        MembershipResult one;
         if (ways.real) {
           const fs::path folder = (ways.out.empty() ? fs::temp_directory_path() : ways.out) /
                                   ("fleet-" + std::to_string(getpid()) + "-" + std::to_string(seed));
           fs::create_directories(folder);
-          one = run_rig_real(plan, seed, only, ways.program, folder.string());
+          one = run_membership_loopback(plan, seed, only, ways.program, folder.string());
           if (ways.out.empty()) fs::remove_all(folder);
         } else {
-          one = run_rig_virtual(plan, seed, only, keep ? &log : nullptr, ways.plain);
+          one = run_membership_virtual(plan, seed, only, keep ? &log : nullptr, ways.plain);
         }
         const std::lock_guard lock(mutex);
         if (keep && !log.empty()) write(ways.out / ("fleet-" + std::to_string(seed) + ".log"), log);
-        if (ways.until_broken && !one.broken.empty()) enough = true;
+        if (ways.until_broken && !one.violations.empty()) enough = true;
         outcomes.emplace(seed, std::move(one));
       } catch (const std::exception& e) {
         const std::lock_guard lock(mutex);
@@ -215,22 +216,22 @@
   if (!failed.empty()) throw InputError(failed);
   for (const auto& [seed, one] : outcomes) {
     ++runs;
-    looks += one.looks;
-    virtual_seconds += one.lasted;
-    if (one.joined) joined.push_back(*one.joined);
-    if (one.settled) settled.push_back(*one.settled);
-    known.insert(known.end(), one.crash_known.begin(), one.crash_known.end());
-    join_known.insert(join_known.end(), one.join_known.begin(), one.join_known.end());
-    called_failed += one.called_failed;
-    rest.push_back(one.bytes_at_rest);
+    looks += one.observations;
+    virtual_seconds += one.duration_s;
+    if (one.converged_ms) joined.push_back(*one.converged_ms);
+    if (one.reconverged_ms) settled.push_back(*one.reconverged_ms);
+    known.insert(known.end(), one.crash_detection_ms.begin(), one.crash_detection_ms.end());
+    join_known.insert(join_known.end(), one.join_detection_ms.begin(), one.join_detection_ms.end());
+    called_failed += one.running_reported_failed;
+    rest.push_back(one.idle_bytes_per_second);
     std::string troubles;
-    for (const std::string& t : one.troubles) troubles += (troubles.empty() ? "" : ",") + t;
-    for (const RigBroken& b : one.broken) {
+    for (const std::string& t : one.faults) troubles += (troubles.empty() ? "" : ",") + t;
+    for (const MembershipViolation& b : one.violations) {
       ++by_rule[name_of(b.rule)];
       if (++broken <= 20)
         std::printf("broken: rule=%s seed=%llu at=%.3fs troubles=%s: %s\n", name_of(b.rule),
                     static_cast<unsigned long long>(seed), static_cast<double>(b.at.count()) / 1e6,
-                    troubles.c_str(), b.what.c_str());
+                    troubles.c_str(), b.description.c_str());
     }
   }
   const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
@@ -256,45 +257,46 @@
   return out;
 }
 
-int hollow(const HollowPlan& plan, const RunWays& ways) {
+int hollow(const InProcessFleetPlan& plan, const RunWays& ways) {
   const fs::path folder = folder_for(ways, "hollow");
-  const HollowOutcome o = run_hollow(plan, ways.program, folder.string());
+  const InProcessFleetResult o = run_in_process_fleet(plan, ways.program, folder.string());
   if (ways.out.empty()) fs::remove_all(folder);
-  std::printf("members=%u real=%u loss=%.2f\n", plan.members, plan.real, plan.loss);
-  std::printf("one view after %.2f s; memory %.1f KiB a node\n", o.one_view, o.memory);
+  std::printf("members=%u real=%u loss=%.2f\n", plan.members, plan.processes, plan.datagram_loss);
+  std::printf("one view after %.2f s; memory %.1f KiB a node\n", o.converged_s, o.memory_kib);
   std::printf(
       "at rest: %.0f bytes a node and second, %.0f of the node that sends most, %.4f%% of a core a node\n",
-      o.rest_bytes, o.most_rest_bytes, o.rest_cpu * 100);
-  bool whole = o.one_view >= 0;
-  for (const auto& [what, known] : o.known) {
+      o.idle_bytes_per_second, o.max_idle_bytes_per_second, o.idle_cpu * 100);
+  bool whole = o.converged_s >= 0;
+  for (const auto& [what, known] : o.propagation_s) {
     std::printf(
         "%-24s half know after %.2f s, all after %.2f s; %.0f bytes a node and second, most %.0f, %.4f%% of "
         "a core\n",
-        what.c_str(), known.first, known.second, o.bytes.at(what), o.most_bytes.at(what),
+        what.c_str(), known.first, known.second, o.bytes_per_second.at(what), o.max_bytes_per_second.at(what),
         o.cpu.at(what) * 100);
     whole = whole && known.second >= 0;
   }
-  std::printf("half restarted in 30 s: %.0f bytes a node and second\n", o.bytes.at("half restarted"));
+  std::printf("half restarted in 30 s: %.0f bytes a node and second\n",
+              o.bytes_per_second.at("half restarted"));
   if (!whole) std::printf("broken: not all came to know\n");
   return whole ? 0 : 1;
 }
 
 int scale(const std::vector<unsigned>& sizes, const RunWays& ways) {
   const fs::path folder = folder_for(ways, "scale");
-  const auto all = scale_node(ways.program, sizes, folder.string());
+  const auto all = measure_node_scaling(ways.program, sizes, folder.string());
   if (ways.out.empty()) fs::remove_all(folder);
-  for (const NodeScale& s : all) {
+  for (const NodeScalingResult& s : all) {
     std::printf(
         "sessions=%u memory %.0f KiB (%.2f a session), %.1f us to open, idle %.2f%% of a core, refused %u\n",
         s.sessions, s.memory_kib, s.memory_kib / s.sessions, s.open_us, s.idle_cpu * 100, s.refused);
     std::printf(
         "  a line to each at once: %.2f, %.2f, %.2f ms at 50, 99, 99.9 in 100; without a node %.2f, %.2f, "
         "%.2f\n",
-        s.line_ms[0], s.line_ms[1], s.line_ms[2], s.floor_ms[0], s.floor_ms[1], s.floor_ms[2]);
-    std::printf("  %.0f lines a second, %.2f us of the node a line\n", s.lines_a_second, s.cpu_us_a_line);
-    if (s.returned)
-      std::printf("  %u come back at once: first answers %.1f, %.1f, %.1f ms at 50, 99, worst\n", s.returned,
-                  s.return_first_ms[0], s.return_first_ms[1], s.return_first_ms[2]);
+        s.line_ms[0], s.line_ms[1], s.line_ms[2], s.baseline_ms[0], s.baseline_ms[1], s.baseline_ms[2]);
+    std::printf("  %.0f lines a second, %.2f us of the node a line\n", s.lines_per_second, s.cpu_us_per_line);
+    if (s.reconnected)
+      std::printf("  %u come back at once: first answers %.1f, %.1f, %.1f ms at 50, 99, worst\n",
+                  s.reconnected, s.reconnect_ms[0], s.reconnect_ms[1], s.reconnect_ms[2]);
   }
   return 0;
 }
@@ -330,37 +332,37 @@
   return 1;
 }
 
-int changes(Seeds seeds, const RunWays& ways, const ChangePlan& plan, const std::string& only) {
+int changes(Seeds seeds, const RunWays& ways, const ChangeExperimentPlan& plan, const std::string& only) {
   std::mutex mutex;
-  std::map<std::string, ChangeOutcome> by_trouble;
+  std::map<std::string, ChangeResult> by_trouble;
   std::map<std::string, unsigned> runs;
   std::atomic<std::uint64_t> next{seeds.first};
   unsigned broken = 0;
   std::vector<double> rest, busy, most;
   const auto work = [&] {
     for (std::uint64_t seed; (seed = next++) <= seeds.last;) {
-      ChangeOutcome one;
+      ChangeResult one;
       if (ways.real) {
         const fs::path folder = (ways.out.empty() ? fs::temp_directory_path() : fs::path(ways.out)) /
                                 ("changes-" + std::to_string(getpid()) + "-" + std::to_string(seed));
         fs::create_directories(folder);
-        one = run_changes_real(plan, seed, only, ways.program, folder.string());
-        if (ways.out.empty() && one.broken.empty()) fs::remove_all(folder);
+        one = run_changes_loopback(plan, seed, only, ways.program, folder.string());
+        if (ways.out.empty() && one.violations.empty()) fs::remove_all(folder);
       } else {
         one = run_changes_virtual(plan, seed, only);
       }
       const std::lock_guard lock(mutex);
-      for (const ChangeBroken& b : one.broken)
+      for (const ChangeViolation& b : one.violations)
         std::printf("broken: rule=%s seed=%llu trouble=%s at %.3f s: %s\n", b.rule.c_str(),
-                    static_cast<unsigned long long>(seed), one.trouble.c_str(), flintweir::seconds(b.at),
-                    b.what.c_str());
-      broken += !one.broken.empty();
-      ++runs[one.trouble];
-      auto& all = by_trouble[one.trouble].known;
-      all.insert(all.end(), one.known.begin(), one.known.end());
-      rest.push_back(one.bytes_at_rest);
-      busy.push_back(one.bytes_at_change);
-      most.push_back(one.most_at_change);
+                    static_cast<unsigned long long>(seed), one.fault.c_str(), flintweir::seconds(b.at),
+                    b.description.c_str());
+      broken += !one.violations.empty();
+      ++runs[one.fault];
+      auto& all = by_trouble[one.fault].propagation_ms;
+      all.insert(all.end(), one.propagation_ms.begin(), one.propagation_ms.end());
+      rest.push_back(one.idle_bytes_per_second);
+      busy.push_back(one.change_bytes_per_second);
+      most.push_back(one.max_change_bytes_per_second);
     }
   };
   std::vector<std::thread> threads;
@@ -368,14 +370,14 @@
   for (std::thread& t : threads) t.join();
   for (const auto& [trouble, one] : by_trouble)
     std::printf("%-16s runs=%u changes=%zu known by all: %s\n", trouble.c_str(), runs[trouble],
-                one.known.size(), spread_of(one.known, "ms").c_str());
+                one.propagation_ms.size(), spread_of(one.propagation_ms, "ms").c_str());
   const auto mean = [](const std::vector<double>& v) {
     return std::accumulate(v.begin(), v.end(), 0.0) / static_cast<double>(std::max<std::size_t>(v.size(), 1));
   };
   std::printf(
       "nodes=%u bytes a node and second: at rest %.0f, in the %.0f s after a change %.0f, the most of one "
       "node %.0f\n",
-      plan.nodes, mean(rest), flintweir::seconds(plan.bound), mean(busy),
+      plan.nodes, mean(rest), flintweir::seconds(plan.propagation_limit), mean(busy),
       most.empty() ? 0 : *std::max_element(most.begin(), most.end()));
   std::printf("%zu runs, %u broken\n", rest.size(), broken);
   return broken ? 1 : 0;
@@ -638,8 +640,8 @@
       if (f.path().extension() == ".toml") files.push_back(f.path());
   std::sort(files.begin(), files.end());
   for (const fs::path& f : files) {
-    if (RigPlan::is_one(f.string())) {
-      std::printf("%-22s %s\n", f.string().c_str(), RigPlan::of_file(f.string()).about.c_str());
+    if (MembershipPlan::is_membership_experiment(f.string())) {
+      std::printf("%-22s %s\n", f.string().c_str(), MembershipPlan::from_file(f.string()).about.c_str());
       continue;
     }
     const Experiment e = Experiment::from_file(f.string());
@@ -651,8 +653,8 @@
   for (const FaultKind& k : fault_kinds())
     std::printf("  %-15s %s%s\n", k.name, k.description, k.virtual_only ? " (virtual network only)" : "");
   std::printf("\ntroubles of the fleet's view:\n");
-  for (const RigKind& k : rig_kinds())
-    std::printf("  %-15s %s%s\n", k.name, k.does, k.virtual_only ? " (virtual time only)" : "");
+  for (const FleetFaultKind& k : fleet_fault_kinds())
+    std::printf("  %-15s %s%s\n", k.name, k.description, k.virtual_only ? " (virtual time only)" : "");
   return 0;
 }
 
@@ -686,7 +688,8 @@
       ->add_option_function<std::string>(
           "--knows-by",
           [&](const std::string& way) {
-            if (way != "view") ways.plain = way == "swim" ? PlainWay::swim : PlainWay::heartbeats;
+            if (way != "view")
+              ways.plain = way == "swim" ? BaselineProtocol::swim : BaselineProtocol::heartbeats;
           },
           "of an experiment on the fleet's view: the nodes' own, or a plain way to hold it against")
       ->check(CLI::IsMember({"view", "heartbeats", "swim"}));
@@ -712,7 +715,7 @@
   leases_command->add_option("--out", ways.out, "folder for logs");
   CLI::App* const changes_command = app.add_subcommand(
       "changes", "changes of configuration carried through a fleet, with troubles between its nodes");
-  ChangePlan change_plan;
+  ChangeExperimentPlan change_plan;
   changes_command->add_option("--seeds", seeds, "a range A..B");
   changes_command->add_option("--only", only, "one kind of trouble");
   changes_command->add_option("--nodes", change_plan.nodes, "of the fleet")->check(CLI::Range(3u, 2000u));
@@ -722,10 +725,12 @@
   changes_command->add_option("--out", ways.out, "folder for logs");
   CLI::App* const hollow_command = app.add_subcommand(
       "hollow", "a fleet of hollow nodes on real datagrams, some real programs among them");
-  HollowPlan hollow_plan;
+  InProcessFleetPlan hollow_plan;
   hollow_command->add_option("--members", hollow_plan.members, "in all")->check(CLI::Range(30u, 1500u));
-  hollow_command->add_option("--real", hollow_plan.real, "of them real programs")->check(CLI::Range(2u, 30u));
-  hollow_command->add_option("--loss", hollow_plan.loss, "share of datagrams")->check(CLI::Range(0.0, 0.9));
+  hollow_command->add_option("--real", hollow_plan.processes, "of them real programs")
+      ->check(CLI::Range(2u, 30u));
+  hollow_command->add_option("--loss", hollow_plan.datagram_loss, "share of datagrams")
+      ->check(CLI::Range(0.0, 0.9));
   hollow_command->add_option("--program", program, "the real program; without it the one beside this");
   hollow_command->add_option("--out", ways.out, "folder for logs");
   CLI::App* const scale_command =
@@ -800,8 +805,8 @@
     if (*changes_command) {
       if (ways.real) ways.program = program_of(program);
       // A large fleet takes longer to know itself.
-      change_plan.joins =
-          std::max<flintweir::Micros>(change_plan.joins, change_plan.nodes * flintweir::Micros{20'000});
+      change_plan.join_time =
+          std::max<flintweir::Micros>(change_plan.join_time, change_plan.nodes * flintweir::Micros{20'000});
       return changes(seeds_of(seeds), ways, change_plan, only);
     }
     if (*leases_command) {
@@ -813,7 +818,7 @@
       return search(states, seeds_of(search_command->count("--seeds") ? seeds : "1..2000"), ways.jobs);
     if (*run_command) {
       if (ways.real) ways.program = program_of(program);
-      if (!file.empty() && RigPlan::is_one(file))
+      if (!file.empty() && MembershipPlan::is_membership_experiment(file))
         return run_fleet(file, variant, seeds_of(seeds), ways, only);
       return run(file, variant, seeds_of(seeds), ways, alone, json);
     }
--- a/src/lab/fleet/plain_peers.cpp
+++ b/src/lab/fleet/baseline_membership.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/plain_peers.h"
+#include "lab/fleet/baseline_membership.h"
 
 #include <algorithm>
 #include <cmath>
@@ -18,8 +18,9 @@
 
 }  // namespace
 
-PlainPeers::PlainPeers(net::Network& network, net::TimerQueue& timers, PlainWay way, const Address& at,
-                       std::string name, std::vector<Address> seeds, Micros interval, std::uint64_t seed)
+BaselineMembership::BaselineMembership(net::Network& network, net::TimerQueue& timers, BaselineProtocol way,
+                                       const Address& at, std::string name, std::vector<Address> seeds,
+                                       Micros interval, std::uint64_t seed)
     : network_(network),
       timers_(timers),
       way_(way),
@@ -29,7 +30,7 @@
       interval_(interval),
       chance_(static_cast<std::knuth_b::result_type>(seed | 1)) {}
 
-void PlainPeers::begin() {
+void BaselineMembership::begin() {
   network_.open_datagrams(at_);
   network_.wait_datagram(*this);
   const Micros now = timers_.now();
@@ -39,7 +40,7 @@
                    *this, static_cast<std::uint64_t>(Due::beat));
 }
 
-void PlainPeers::datagram_pending() {
+void BaselineMembership::datagram_pending() {
   char bytes[kMaxDatagramBytes + 1];
   for (;;) {
     const net::ReceiveResult got = network_.receive(bytes, sizeof bytes);
@@ -50,7 +51,7 @@
   network_.wait_datagram(*this);
 }
 
-void PlainPeers::timer_expired(std::uint64_t token) {
+void BaselineMembership::timer_expired(std::uint64_t token) {
   const auto due = static_cast<Due>(token & 3);
   if (due == Due::beat) {
     for (const Address& seed : seeds_) {
@@ -59,7 +60,7 @@
       });
       if (!known) send(MessageKind::ping, seed, Nonce{++nonces_});
     }
-    way_ == PlainWay::heartbeats ? beat_to_all() : probe();
+    way_ == BaselineProtocol::heartbeats ? beat_to_all() : probe();
     return timers_.schedule(interval_, *this, static_cast<std::uint64_t>(Due::beat));
   }
   const auto it = members_.find(probed_);
@@ -77,7 +78,7 @@
   }
 }
 
-void PlainPeers::beat_to_all() {
+void BaselineMembership::beat_to_all() {
   for (auto& [name, m] : members_) {
     if (name == name_) continue;
     send(MessageKind::ping, m.address, Nonce{++nonces_});
@@ -85,7 +86,7 @@
   }
 }
 
-void PlainPeers::probe() {
+void BaselineMembership::probe() {
   for (auto& [name, m] : members_)
     if (m.standing == MemberState::suspected && timers_.now() - m.since > interval_ * kSilence)
       set(m, MemberState::failed);
@@ -106,13 +107,13 @@
   timers_.schedule(interval_ * 9 / 10, *this, probe_nonce_ << 2 | static_cast<std::uint64_t>(Due::over));
 }
 
-void PlainPeers::set(Member& m, MemberState standing) {
+void BaselineMembership::set(Member& m, MemberState standing) {
   m.standing = standing;
   m.since = timers_.now();
   m.sends = 3 * static_cast<int>(std::ceil(std::log2(static_cast<double>(members_.size()) + 1)));
 }
 
-void PlainPeers::on_update(const Sender& from, const MemberUpdate& w) {
+void BaselineMembership::on_update(const Sender& from, const MemberUpdate& w) {
   if (w.name == name_) {
     Member& me = members_.find(name_)->second;
     if (w.state == MemberState::alive || w.generation < me.start) return;
@@ -123,7 +124,7 @@
   const bool own = w.name == from.name;
   const auto [it, fresh] = members_.try_emplace(std::string(w.name));
   Member& m = it->second;
-  if (way_ == PlainWay::heartbeats) {
+  if (way_ == BaselineProtocol::heartbeats) {
     // Who is told of by another is heard from itself soon, or not at all.
     if (!fresh && !own) return;
     if (!fresh && w.generation < m.start) return;
@@ -145,13 +146,13 @@
   set(m, w.state == MemberState::joining ? MemberState::alive : w.state);
 }
 
-void PlainPeers::on_ping(const Sender& from, Nonce nonce) {
+void BaselineMembership::on_ping(const Sender& from, Nonce nonce) {
   const auto it = members_.find(from.name);
   const bool fresh = it == members_.end() || timers_.now() - it->second.since < interval_ * 2;
-  if (way_ == PlainWay::swim || fresh) send(MessageKind::ack, from.address, nonce, fresh);
+  if (way_ == BaselineProtocol::swim || fresh) send(MessageKind::ack, from.address, nonce, fresh);
 }
 
-void PlainPeers::on_ack(const Sender&, Nonce nonce) {
+void BaselineMembership::on_ack(const Sender&, Nonce nonce) {
   if (nonce.value == probe_nonce_) answered_ = true;
   const auto it = helped_.find(nonce.value);
   if (it == helped_.end()) return;
@@ -159,17 +160,18 @@
   helped_.erase(it);
 }
 
-void PlainPeers::on_ping_request(const Sender& from, Nonce nonce, std::string_view, const Address& at) {
+void BaselineMembership::on_ping_request(const Sender& from, Nonce nonce, std::string_view,
+                                         const Address& at) {
   while (helped_.size() > 64) helped_.erase(helped_.begin());
   helped_[++nonces_] = {nonce, from.address};
   send(MessageKind::ping, at, Nonce{nonces_});
 }
 
-MemberUpdate PlainPeers::update_of(const std::string& name, const Member& m) const {
+MemberUpdate BaselineMembership::update_of(const std::string& name, const Member& m) const {
   return {name, m.start, m.word, m.standing, m.address, "", "plain", "", name};
 }
 
-Sender PlainPeers::from() const {
+Sender BaselineMembership::from() const {
   const Member& me = members_.find(name_)->second;
   Sender out{name_, me.start, at_};
   for (const auto& [name, m] : members_)
@@ -178,7 +180,7 @@
 }
 
 // With its own word and, by SWIM, those least spread so far; `all`: with all there are, in as many datagrams.
-void PlainPeers::send(MessageKind kind, const Address& to, Nonce nonce, bool all) {
+void BaselineMembership::send(MessageKind kind, const Address& to, Nonce nonce, bool all) {
   DatagramWriter writer(kind, "lab", from(), nonce);
   writer.add(update_of(name_, members_.find(name_)->second));
   if (all) {
@@ -189,7 +191,7 @@
         ++it;
       network_.send_datagram(to, part.finish());
     }
-  } else if (way_ == PlainWay::swim) {
+  } else if (way_ == BaselineProtocol::swim) {
     std::vector<Members::value_type*> gossip;
     for (auto& m : members_)
       if (m.second.sends > 0 && m.first != name_) gossip.push_back(&m);
@@ -203,7 +205,7 @@
   network_.send_datagram(to, writer.finish());
 }
 
-void PlainPeers::on_view_query(Nonce nonce, std::string_view after) {
+void BaselineMembership::on_view_query(Nonce nonce, std::string_view after) {
   const auto begin = after.empty() ? members_.begin() : members_.upper_bound(after);
   for (const bool last : {true, false}) {
     DatagramWriter writer(MessageKind::view_page, "lab", from(), nonce);
--- a/src/lab/fleet/plain_peers.h
+++ b/src/lab/fleet/baseline_membership.h
@@ -13,12 +13,12 @@
 
 namespace flintweir::lab {
 
-enum class PlainWay { heartbeats, swim };
+enum class BaselineProtocol { heartbeats, swim };
 
-class PlainPeers final : members::DatagramHandler, net::DatagramEvents, net::TimerEvents {
+class BaselineMembership final : members::DatagramHandler, net::DatagramEvents, net::TimerEvents {
  public:
-  PlainPeers(net::Network& network, net::TimerQueue& timers, PlainWay way, const Address& at,
-             std::string name, std::vector<Address> seeds, Micros interval, std::uint64_t seed);
+  BaselineMembership(net::Network& network, net::TimerQueue& timers, BaselineProtocol way, const Address& at,
+                     std::string name, std::vector<Address> seeds, Micros interval, std::uint64_t seed);
   void begin();
 
  private:
@@ -52,7 +52,7 @@
 
   net::Network& network_;
   net::TimerQueue& timers_;
-  PlainWay way_;
+  BaselineProtocol way_;
   Address at_, came_from_;
   std::string name_;
   std::vector<Address> seeds_;
--- a/src/lab/fleet/change_rig.cpp
+++ b/src/lab/fleet/change_experiment.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/change_rig.h"
+#include "lab/fleet/change_experiment.h"
 
 #include <algorithm>
 #include <map>
@@ -7,8 +7,8 @@
 
 #include "changes/datagram.h"
 #include "lab/faults/input_error.h"
-#include "lab/fleet/rig_loopback.h"
-#include "lab/fleet/rig_virtual.h"
+#include "lab/fleet/loopback_harness.h"
+#include "lab/fleet/virtual_harness.h"
 #include "numbers.h"
 
 namespace flintweir::lab {
@@ -24,17 +24,17 @@
 // Publishes changes, and asks processes what they have.
 class Publisher final : net::DatagramEvents, changes::MessageHandler {
  public:
-  using Seen = std::function<void(RigPlace, const changes::Status&)>;
-  Publisher(RigStage& stage, Seen seen) : stage_(stage), seen_(std::move(seen)) {
-    stage_.onlooker().open_datagrams(stage_.onlooker_at());
-    stage_.onlooker().wait_datagram(*this);
+  using Seen = std::function<void(NodeEndpoint, const changes::Status&)>;
+  Publisher(FleetHarness& harness, Seen seen) : harness_(harness), seen_(std::move(seen)) {
+    harness_.observer().open_datagrams(harness_.observer_address());
+    harness_.observer().wait_datagram(*this);
   }
   // `parts`: what is given of it; fewer where its publisher dies meanwhile.
-  void publish(const Change& change, RigPlace to, std::uint32_t parts = ~0u) {
+  void publish(const Change& change, NodeEndpoint to, std::uint32_t parts = ~0u) {
     held_[change_id(change)] = {change, parts};
     send(to, encode_have(me(), {change_id(change), {}}));
   }
-  void ask(RigPlace whom) {
+  void ask(NodeEndpoint whom) {
     const std::uint64_t nonce = ++nonces_;
     asked_[nonce] = whom;
     send(whom, changes::encode_query(me(), nonce));
@@ -42,91 +42,93 @@
   }
 
  private:
-  changes::Sender me() const { return {stage_.fleet(), "publisher", stage_.onlooker_at()}; }
-  void send(RigPlace to, const std::string& bytes) {
-    stage_.onlooker().send_datagram(stage_.hears_at(to), bytes);
+  changes::Sender me() const { return {harness_.fleet_name(), "publisher", harness_.observer_address()}; }
+  void send(NodeEndpoint to, const std::string& bytes) {
+    harness_.observer().send_datagram(harness_.listen_address(to), bytes);
   }
   void datagram_pending() override {
     char bytes[changes::kMaxDatagramBytes + 1];
     for (;;) {
-      const net::ReceiveResult got = stage_.onlooker().receive(bytes, sizeof bytes);
+      const net::ReceiveResult got = harness_.observer().receive(bytes, sizeof bytes);
       if (got.status == net::IoStatus::would_block) break;
       came_from_ = got.from;
       if (got.status == net::IoStatus::done) changes::decode({bytes, got.bytes}, "", *this);
     }
-    stage_.onlooker().wait_datagram(*this);
+    harness_.observer().wait_datagram(*this);
   }
   void on_want(const changes::Sender&, const ChangeId& of, std::uint32_t wanted) override {
     const auto it = held_.find(of);
     if (it == held_.end()) return;
     for (const std::string& one : changes::encode_parts(me(), it->second.first, wanted & it->second.second))
-      stage_.onlooker().send_datagram(came_from_, one);
+      harness_.observer().send_datagram(came_from_, one);
   }
   void on_status(const changes::Sender&, std::uint64_t nonce, const changes::Status& status) override {
     if (const auto it = asked_.find(nonce); it != asked_.end()) seen_(it->second, status);
   }
 
-  RigStage& stage_;
+  FleetHarness& harness_;
   Seen seen_;
   std::map<ChangeId, std::pair<Change, std::uint32_t>> held_;
-  std::map<std::uint64_t, RigPlace> asked_;
+  std::map<std::uint64_t, NodeEndpoint> asked_;
   Address came_from_;  // past all relays, as the question came
   std::uint64_t nonces_ = 0;
 };
 
-class ChangeRig {
+class ChangeExperiment {
  public:
-  ChangeRig(const ChangePlan& plan, RigStage& stage, std::uint64_t seed, std::string trouble)
+  ChangeExperiment(const ChangeExperimentPlan& plan, FleetHarness& harness, std::uint64_t seed,
+                   std::string trouble)
       : plan_(plan),
-        stage_(stage),
+        harness_(harness),
         chance_(static_cast<std::knuth_b::result_type>(mix(seed + 0xc4a6) | 1)),
-        publisher_(stage, [this](RigPlace at, const changes::Status& s) { seen(at, s); }),
-        began_(stage.now()) {
-    const auto& all = change_troubles();
+        publisher_(harness, [this](NodeEndpoint at, const changes::Status& s) { seen(at, s); }),
+        began_(harness.now()) {
+    const auto& all = change_faults();
     if (!trouble.empty() && std::find(all.begin(), all.end(), trouble) == all.end())
       throw InputError("there is no trouble '" + trouble + "'");
-    out_.trouble = trouble.empty() ? all[chance_() % all.size()] : trouble;
+    out_.fault = trouble.empty() ? all[chance_() % all.size()] : trouble;
     units_.resize(plan.nodes);
-    stage_.on_sent = [this](RigPlace from, std::size_t bytes) {
+    harness_.on_sent = [this](NodeEndpoint from, std::size_t bytes) {
       sent_ += bytes;
       units_[from.node].sent += bytes;
     };
   }
 
-  ChangeOutcome play() {
+  ChangeResult play() {
     for (unsigned i = 0; i < std::min(3u, plan_.nodes); ++i)
       seeds_.push_back({i * plan_.nodes / 3 % plan_.nodes, 0});
     for (unsigned i = 0; i < plan_.nodes; ++i) at(part(100ms), [this, i] { start(i); });
-    at(plan_.joins / 2, [this] { look(); });
+    at(plan_.join_time / 2, [this] { look(); });
     // At rest, then one change with nobody in trouble.
-    at(plan_.joins, [this] { before_ = sent_; });
-    at(plan_.joins + 2s, [this] {
-      out_.bytes_at_rest = static_cast<double>(sent_ - before_) / 2.0 / plan_.nodes;
+    at(plan_.join_time, [this] { before_ = sent_; });
+    at(plan_.join_time + 2s, [this] {
+      out_.idle_bytes_per_second = static_cast<double>(sent_ - before_) / 2.0 / plan_.nodes;
       before_ = sent_;
       for (Unit& u : units_) u.sent = 0;
       publish(text());
     });
-    const Micros first = plan_.joins + 2s + plan_.bound;
+    const Micros first = plan_.join_time + 2s + plan_.propagation_limit;
     at(first, [this] {
-      out_.bytes_at_change = static_cast<double>(sent_ - before_) / seconds(plan_.bound) / plan_.nodes;
+      out_.change_bytes_per_second =
+          static_cast<double>(sent_ - before_) / seconds(plan_.propagation_limit) / plan_.nodes;
       for (const Unit& u : units_)
-        out_.most_at_change =
-            std::max(out_.most_at_change, static_cast<double>(u.sent) / seconds(plan_.bound));
+        out_.max_change_bytes_per_second = std::max(
+            out_.max_change_bytes_per_second, static_cast<double>(u.sent) / seconds(plan_.propagation_limit));
       // While members still find each other, a fleet that starts at once says more: its bound is the view's.
-      if (out_.most_at_change > plan_.most_bytes)
-        broken("budget",
-               std::to_string(static_cast<int>(out_.most_at_change)) + " bytes a second of one node");
+      if (out_.max_change_bytes_per_second > plan_.max_bytes_per_second)
+        broken("budget", std::to_string(static_cast<int>(out_.max_change_bytes_per_second)) +
+                             " bytes a second of one node");
       judge("late");
     });
     at(first + 100ms, [this] { begin(); });
     // A change in the middle of it, and what the trouble adds.
-    at(first + 100ms + plan_.lasts / 3, [this] { publish(text()); });
-    at(first + 100ms + plan_.lasts, [this] { heal(); });
+    at(first + 100ms + plan_.fault_duration / 3, [this] { publish(text()); });
+    at(first + 100ms + plan_.fault_duration, [this] { heal(); });
     // Members that were cut off or came back have to find each other first: that is the view's.
-    const Micros healed = first + 100ms + plan_.lasts + (calm() ? 0us : 10 * plan_.interval);
-    at(healed + plan_.bound, [this] { judge(calm() ? "late" : "settled"); });
-    stage_.run_until(began_ + healed + plan_.bound + 100ms);
-    stage_.on_sent = nullptr;
+    const Micros healed = first + 100ms + plan_.fault_duration + (calm() ? 0us : 10 * plan_.interval);
+    at(healed + plan_.propagation_limit, [this] { judge(calm() ? "late" : "settled"); });
+    harness_.run_until(began_ + healed + plan_.propagation_limit + 100ms);
+    harness_.on_sent = nullptr;
     for (unsigned i = 0; i < units_.size(); ++i) kill(i);
     return std::move(out_);
   }
@@ -144,33 +146,35 @@
     bool known = false;
   };
 
-  bool calm() const { return out_.trouble == "calm"; }
-  void at(Micros in, std::function<void()> act) { stage_.at(began_ + in, std::move(act)); }
-  void after(Micros in, std::function<void()> act) { stage_.at(stage_.now() + in, std::move(act)); }
+  bool calm() const { return out_.fault == "calm"; }
+  void at(Micros in, std::function<void()> act) { harness_.schedule_at(began_ + in, std::move(act)); }
+  void after(Micros in, std::function<void()> act) {
+    harness_.schedule_at(harness_.now() + in, std::move(act));
+  }
   Micros part(Micros of) {
     return Micros{static_cast<std::int64_t>(static_cast<double>(of.count()) *
                                             std::generate_canonical<double, 32>(chance_))};
   }
   void broken(const std::string& rule, const std::string& what) {
-    if (out_.broken.size() < 20 && said_.insert(rule + what).second)
-      out_.broken.push_back({rule, stage_.now() - began_, what});
+    if (out_.violations.size() < 20 && said_.insert(rule + what).second)
+      out_.violations.push_back({rule, harness_.now() - began_, what});
   }
 
   void start(unsigned i) {
     Unit& u = units_[i];
     if (u.up) return;
     u = {true, false, {}, u.sent};
-    started_[i] = stage_.now();
-    stage_.start({i, 0}, "n" + std::to_string(i), seeds_);
+    started_[i] = harness_.now();
+    harness_.start({i, 0}, "n" + std::to_string(i), seeds_);
   }
   void kill(unsigned i) {
     if (!std::exchange(units_[i].up, false)) return;
-    stage_.kill({i, 0});
+    harness_.kill({i, 0});
   }
   void freeze(unsigned i, bool on) {
     if (!units_[i].up || units_[i].frozen == on) return;
     units_[i].frozen = on;
-    stage_.freeze({i, 0}, on);
+    harness_.freeze({i, 0}, on);
   }
 
   // A change that every node can take, of any size.
@@ -183,7 +187,7 @@
   void publish(const std::string& text, bool refused = false, bool by_odd = false,
                std::uint32_t parts = ~0u) {
     const Change change{ChangeNumber{++number_ * 1000}, text};
-    published_.push_back({change_id(change), refused, by_odd, stage_.now(), false});
+    published_.push_back({change_id(change), refused, by_odd, harness_.now(), false});
     std::vector<unsigned> up;
     for (unsigned i = 0; i < units_.size(); ++i)
       if (units_[i].up && !units_[i].frozen) up.push_back(i);
@@ -199,17 +203,17 @@
   void ways(Of of, const DatagramFaults& post) {
     for (unsigned a = 0; a < plan_.nodes; ++a)
       for (unsigned b = 0; b < plan_.nodes; ++b)
-        if (a != b && of(a, b)) stage_.way(a, b) = post;
+        if (a != b && of(a, b)) harness_.link(a, b) = post;
   }
 
   void begin() {
-    const std::string& t = out_.trouble;
+    const std::string& t = out_.fault;
     DatagramFaults bad;
     const unsigned half = plan_.nodes / 2;
     if (t == "crash" || t == "restart") {
       for (unsigned i = 0; i < plan_.nodes; ++i) {
         if (i == 0 || chance_() % 2) continue;
-        after(part(plan_.lasts / 2), [this, i, t] {
+        after(part(plan_.fault_duration / 2), [this, i, t] {
           kill(i);
           if (t == "restart") after(300ms, [this, i] { start(i); });
         });
@@ -217,7 +221,7 @@
     } else if (t == "restart-all") {
       // One after the other, so that never all are away at once: what they hold passes on.
       for (unsigned i = 0; i < plan_.nodes; ++i)
-        after(plan_.lasts * i / (plan_.nodes + 1), [this, i] {
+        after(plan_.fault_duration * i / (plan_.nodes + 1), [this, i] {
           kill(i);
           after(100ms, [this, i] { start(i); });
         });
@@ -227,7 +231,7 @@
                unsigned b) { return t == "cut" ? (a < half) != (b < half) : a < half && b >= half; },
            bad);
       // A second one, at either side; the larger number is everybody's in the end.
-      after(plan_.lasts / 2, [this] { publish(text()); });
+      after(plan_.fault_duration / 2, [this] { publish(text()); });
     } else if (t == "loss" || t == "mangled") {
       bad.loss = t == "loss" ? 0.3 : 0.05;
       if (t == "mangled") {
@@ -240,7 +244,7 @@
       for (unsigned i = 1; i < plan_.nodes; i += 3) freeze(i, true);
     } else if (t == "busy") {
       for (unsigned i = 1; i < plan_.nodes; i += 3)
-        for (Micros in = 0us; in < plan_.lasts; in += 200ms) {
+        for (Micros in = 0us; in < plan_.fault_duration; in += 200ms) {
           after(in, [this, i] { freeze(i, true); });
           after(in + 180ms, [this, i] { freeze(i, false); });
         }
@@ -249,20 +253,21 @@
       publish(text());
       publish(text());
     } else if (t == "refused" || t == "refused-by-odd") {
-      after(plan_.lasts / 2, [this, t] {
+      after(plan_.fault_duration / 2, [this, t] {
         publish(t == "refused" ? "[listener.video]\nutility = 2\n" : "[listener.even]\nutility = 2\n",
                 t == "refused", t != "refused");
       });
       // Who starts after it has to come to what the others run by.
-      after(plan_.lasts * 2 / 3, [this] { kill(plan_.nodes - 1); });
-      after(plan_.lasts * 2 / 3 + 200ms, [this] { start(plan_.nodes - 1); });
+      after(plan_.fault_duration * 2 / 3, [this] { kill(plan_.nodes - 1); });
+      after(plan_.fault_duration * 2 / 3 + 200ms, [this] { start(plan_.nodes - 1); });
     } else if (t == "half-published") {
-      after(plan_.lasts / 2, [this] { publish(text() + std::string(1000, '#') + '\n', false, false, 1); });
+      after(plan_.fault_duration / 2,
+            [this] { publish(text() + std::string(1000, '#') + '\n', false, false, 1); });
     } else if (t == "older-again") {
       // The publisher of a former number comes back late and says it again to everybody.
-      after(plan_.lasts / 2, [this] {
+      after(plan_.fault_duration / 2, [this] {
         const Change old{ChangeNumber{1}, "[listener.chat]\nutility = 8\n"};
-        published_.push_back({change_id(old), false, false, stage_.now(), true});
+        published_.push_back({change_id(old), false, false, harness_.now(), true});
         for (unsigned i = 0; i < plan_.nodes; ++i) publisher_.publish(old, {i, 0});
       });
     }
@@ -288,15 +293,15 @@
     return p.refused || (p.refused_by_odd && node % 2);
   }
 
-  void seen(RigPlace place, const changes::Status& s) {
+  void seen(NodeEndpoint place, const changes::Status& s) {
     Unit& u = units_[place.node];
     if (!u.up) return;
-    ++out_.looks;
+    ++out_.observations;
     const std::string who = "n" + std::to_string(place.node);
     // An answer of a process before this one comes after its start by a little at most: those of a new one
     // rise.
     if (s.held.newest < u.held.newest || s.held.in_force < u.held.in_force) {
-      if (stage_.now() - started_[place.node] > 500ms)
+      if (harness_.now() - started_[place.node] > 500ms)
         broken("back", who + " has an older change than before");
     }
     for (const ChangeId& w : {s.held.newest, s.held.in_force})
@@ -318,7 +323,7 @@
       });
       if (!all) continue;
       p.known = true;
-      out_.known.push_back(seconds(stage_.now() - p.at) * 1e3);
+      out_.propagation_ms.push_back(seconds(harness_.now() - p.at) * 1e3);
     }
   }
 
@@ -342,24 +347,24 @@
     }
   }
 
-  const ChangePlan& plan_;
-  RigStage& stage_;
+  const ChangeExperimentPlan& plan_;
+  FleetHarness& harness_;
   std::knuth_b chance_;
   Publisher publisher_;
   Micros began_;
   std::vector<Unit> units_;
   std::map<unsigned, Micros> started_;
-  std::vector<RigPlace> seeds_;
+  std::vector<NodeEndpoint> seeds_;
   std::vector<Published> published_;
   std::set<std::string> said_;
   std::uint64_t number_ = 0;
   std::size_t sent_ = 0, before_ = 0;
-  ChangeOutcome out_;
+  ChangeResult out_;
 };
 
 }  // namespace
 
-const std::vector<std::string>& change_troubles() {
+const std::vector<std::string>& change_faults() {
   static const std::vector<std::string> all = {
       "calm",        "crash",   "restart",        "restart-all",    "cut",
       "cut-one-way", "loss",    "mangled",        "pause",          "busy",
@@ -367,22 +372,24 @@
   return all;
 }
 
-ChangeOutcome play_changes(const ChangePlan& plan, RigStage& stage, std::uint64_t seed,
-                           const std::string& trouble) {
-  return ChangeRig(plan, stage, seed, trouble).play();
+ChangeResult run_change_experiment(const ChangeExperimentPlan& plan, FleetHarness& harness,
+                                   std::uint64_t seed, const std::string& trouble) {
+  return ChangeExperiment(plan, harness, seed, trouble).play();
 }
 
-ChangeOutcome run_changes_virtual(const ChangePlan& plan, std::uint64_t seed, const std::string& trouble) {
-  RigVirtual stage(plan.nodes, plan.interval, 3600s, seed, nullptr);
-  stage.carry_changes();
-  return play_changes(plan, stage, seed, trouble);
+ChangeResult run_changes_virtual(const ChangeExperimentPlan& plan, std::uint64_t seed,
+                                 const std::string& trouble) {
+  VirtualHarness harness(plan.nodes, plan.interval, 3600s, seed, nullptr);
+  harness.enable_changes();
+  return run_change_experiment(plan, harness, seed, trouble);
 }
 
-ChangeOutcome run_changes_real(const ChangePlan& plan, std::uint64_t seed, const std::string& trouble,
-                               const std::vector<std::string>& program, const std::string& folder) {
-  RigLoopback stage(program, folder, plan.nodes, plan.interval, seed);
-  stage.add_section("[changes]\n");
-  return play_changes(plan, stage, seed, trouble);
+ChangeResult run_changes_loopback(const ChangeExperimentPlan& plan, std::uint64_t seed,
+                                  const std::string& trouble, const std::vector<std::string>& program,
+                                  const std::string& folder) {
+  LoopbackHarness harness(program, folder, plan.nodes, plan.interval, seed);
+  harness.set_operator_sections("[changes]\n");
+  return run_change_experiment(plan, harness, seed, trouble);
 }
 
 }  // namespace flintweir::lab
--- a/src/lab/fleet/hollow.cpp
+++ b/src/lab/fleet/in_process_fleet.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/hollow.h"
+#include "lab/fleet/in_process_fleet.h"
 
 #include <sys/resource.h>
 #include <unistd.h>
@@ -73,11 +73,11 @@
 
 class Hollow final : net::LogSink {
  public:
-  Hollow(const HollowPlan& plan, std::vector<std::string> program, std::string folder)
+  Hollow(const InProcessFleetPlan& plan, std::vector<std::string> program, std::string folder)
       : plan_(plan),
         program_(std::move(program)),
         folder_(std::move(folder)),
-        members_(plan.members - plan.real) {
+        members_(plan.members - plan.processes) {
     net::set_log_sink(this);
     zones_ = 10;  // 2 regions of 5
   }
@@ -87,15 +87,16 @@
     net::set_log_sink(nullptr);
   }
 
-  HollowOutcome play() {
+  InProcessFleetResult play() {
     const double before = resident();
     const Micros began = loop_.now();
     for (unsigned i = 0; i < members_.size(); ++i) start(i);
-    for (unsigned i = 0; i < plan_.real; ++i) spawn(i);
-    out_.one_view = until(began, 60s, [this] { return agree(plan_.members); });
+    for (unsigned i = 0; i < plan_.processes; ++i) spawn(i);
+    out_.converged_s = until(began, 60s, [this] { return agree(plan_.members); });
     run(5s);
-    out_.memory = (resident() - before) / static_cast<double>(members_.size());
-    std::tie(out_.rest_bytes, out_.most_rest_bytes, out_.rest_cpu) = over(10s, [] { return false; });
+    out_.memory_kib = (resident() - before) / static_cast<double>(members_.size());
+    std::tie(out_.idle_bytes_per_second, out_.max_idle_bytes_per_second, out_.idle_cpu) =
+        over(10s, [] { return false; });
 
     happens(
         "a change", [this] { put("[prices]\ncrossing = 1\n# " + std::string(1000, 'x') + '\n', 1000); },
@@ -136,8 +137,9 @@
       }
       run(20ms);
     }
-    out_.bytes["half restarted"] = static_cast<double>(all_sent_ - sent) /
-                                   static_cast<double>(members_.size()) / seconds(loop_.now() - from);
+    out_.bytes_per_second["half restarted"] = static_cast<double>(all_sent_ - sent) /
+                                              static_cast<double>(members_.size()) /
+                                              seconds(loop_.now() - from);
     happens(
         "a change after that", [this] { put("[prices]\ncrossing = 3\n", 3000); },
         [this] { return has(3000); });
@@ -167,7 +169,8 @@
     return "r" + std::to_string(i % 2) + "-z" + std::to_string(i % zones_);
   }
   bool passes(unsigned from, const Address& to) {
-    if (plan_.loss > 0 && std::generate_canonical<double, 32>(chance_) < plan_.loss) return false;
+    if (plan_.datagram_loss > 0 && std::generate_canonical<double, 32>(chance_) < plan_.datagram_loss)
+      return false;
     if (!apart_) return true;
     const auto it = numbers_.find(to);
     return it == numbers_.end() || it->second % 2 == from % 2;
@@ -348,14 +351,14 @@
       if (all < 0 && now >= 1) all = seconds(loop_.now() - from);
       return all < 0;
     });
-    out_.known[what] = {half, all};
-    out_.bytes[what] = bytes;
-    out_.most_bytes[what] = most;
+    out_.propagation_s[what] = {half, all};
+    out_.bytes_per_second[what] = bytes;
+    out_.max_bytes_per_second[what] = most;
     out_.cpu[what] = core;
     run(1s);
   }
 
-  HollowPlan plan_;
+  InProcessFleetPlan plan_;
   std::vector<std::string> program_;
   std::string folder_;
   unsigned zones_;
@@ -369,13 +372,14 @@
   std::map<std::string, unsigned> failed_by_, alive_by_;  // how many have said so since it was asked
   std::uint64_t all_sent_ = 0;
   bool apart_ = false;
-  HollowOutcome out_;
+  InProcessFleetResult out_;
 };
 
 }  // namespace
 
-HollowOutcome run_hollow(const HollowPlan& plan, const std::vector<std::string>& program,
-                         const std::string& folder) {
+InProcessFleetResult run_in_process_fleet(const InProcessFleetPlan& plan,
+                                          const std::vector<std::string>& program,
+                                          const std::string& folder) {
   return Hollow(plan, program, folder).play();
 }
 
--- a/src/lab/fleet/rig_loopback.cpp
+++ b/src/lab/fleet/loopback_harness.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/rig_loopback.h"
+#include "lab/fleet/loopback_harness.h"
 
 #include <unistd.h>
 
@@ -16,7 +16,7 @@
 
 std::atomic<unsigned> runs{0};
 
-constexpr std::uint16_t kHears = 7946, kRelayed = 7947, kServes = 8081, kOnlooks = 7948, kHosts = 9001,
+constexpr std::uint16_t kHears = 7946, kRelayed = 7947, kServes = 8081, kObserverPort = 7948, kHosts = 9001,
                         kLedger = 9002;
 
 // Each run has addresses of its own, so that two at a time don't meet, in one process or in two.
@@ -33,10 +33,10 @@
 
 }  // namespace
 
-class RigLoopback::Relay final : net::DatagramEvents {
+class LoopbackHarness::Relay final : net::DatagramEvents {
  public:
-  Relay(RigLoopback& rig, RigPlace of) : rig_(rig), of_(of), network_(rig.clock_) {
-    network_.open_datagrams(rig.told_at(of));
+  Relay(LoopbackHarness& rig, NodeEndpoint of) : rig_(rig), of_(of), network_(rig.clock_) {
+    network_.open_datagrams(rig.advertised_address(of));
     network_.wait_datagram(*this);
   }
   ~Relay() { network_.shut_down(); }
@@ -50,27 +50,28 @@
       const auto from = rig_.senders_.find(got.from);
       if (got.status != net::IoStatus::done || from == rig_.senders_.end()) continue;
       if (rig_.on_sent) rig_.on_sent(from->second, got.bytes);
-      const DatagramFaults& way = rig_.way(from->second.node, of_.node);
+      const DatagramFaults& way = rig_.link(from->second.node, of_.node);
       for (auto& [in, copy] : delivered_copies(way, rig_.chance_, {bytes, got.bytes})) {
         if (in == 0us)
-          network_.send_datagram(rig_.hears_at(of_), copy);
+          network_.send_datagram(rig_.listen_address(of_), copy);
         else
-          rig_.at(rig_.now() + in,
-                  [this, text = std::move(copy)] { network_.send_datagram(rig_.hears_at(of_), text); });
+          rig_.schedule_at(rig_.now() + in, [this, text = std::move(copy)] {
+            network_.send_datagram(rig_.listen_address(of_), text);
+          });
       }
     }
     network_.wait_datagram(*this);
   }
 
-  RigLoopback& rig_;
-  RigPlace of_;
+  LoopbackHarness& rig_;
+  NodeEndpoint of_;
   net::KernelNetwork network_;
 };
 
 // A host that takes whatever comes and is never busy, so that a session asks nothing but its node.
-class RigLoopback::Host final : net::AcceptEvents {
+class LoopbackHarness::Host final : net::AcceptEvents {
  public:
-  Host(RigLoopback& rig, const Address& at) : network_(rig.clock_) {
+  Host(LoopbackHarness& rig, const Address& at) : network_(rig.clock_) {
     network_.listen(at);
     network_.wait_accept(*this);
   }
@@ -121,12 +122,12 @@
 
 // A client of one node: a session to the host and its end, within a time that a busy machine keeps. It comes
 // again where it hears that it may.
-class RigLoopback::Knock final : net::SocketEvents {
+class LoopbackHarness::Knock final : net::SocketEvents {
  public:
-  Knock(RigLoopback& rig, const Address& at, std::function<void(bool)> answered)
+  Knock(LoopbackHarness& rig, const Address& at, std::function<void(bool)> answered)
       : rig_(rig), network_(rig.clock_), at_(at), answered_(std::move(answered)) {
     begin();
-    rig.at(rig.now() + 5s, [this] { end(false); });
+    rig.schedule_at(rig.now() + 5s, [this] { end(false); });
   }
   bool over() const { return over_; }
 
@@ -148,7 +149,7 @@
     const std::string_view said(bytes, got.bytes);
     if (!said.starts_with("BUSY")) return end(said.starts_with("UP "));
     network_.close(std::exchange(socket_, {}), true);
-    rig_.at(rig_.now() + 200ms, [this] {
+    rig_.schedule_at(rig_.now() + 200ms, [this] {
       if (!over_) begin();
     });
   }
@@ -159,7 +160,7 @@
     answered_(well);
   }
 
-  RigLoopback& rig_;
+  LoopbackHarness& rig_;
   net::KernelNetwork network_;
   Address at_;
   net::SocketKey socket_;
@@ -167,8 +168,8 @@
   bool over_ = false;
 };
 
-RigLoopback::RigLoopback(std::vector<std::string> program, std::string folder, unsigned nodes,
-                         Micros interval, std::uint64_t seed)
+LoopbackHarness::LoopbackHarness(std::vector<std::string> program, std::string folder, unsigned nodes,
+                                 Micros interval, std::uint64_t seed)
     : block_(runs++),
       nodes_(nodes),
       interval_(interval),
@@ -176,26 +177,26 @@
       folder_(std::move(folder)),
       event_queue_(clock_.now()),
       chance_(static_cast<std::knuth_b::result_type>(seed | 1)),
-      ways_(std::size_t{nodes} * nodes) {
+      links_(std::size_t{nodes} * nodes) {
   std::signal(SIGPIPE, SIG_IGN);
   host_ = std::make_unique<Host>(*this, loopback(block_, 0, kHosts));
 }
 
-RigLoopback::~RigLoopback() = default;
+LoopbackHarness::~LoopbackHarness() = default;
 
-Address RigLoopback::hears_at(RigPlace at) const {
+Address LoopbackHarness::listen_address(NodeEndpoint at) const {
   return loopback(block_, 1 + at.address * nodes_ + at.node, kHears);
 }
-Address RigLoopback::told_at(RigPlace at) const {
+Address LoopbackHarness::advertised_address(NodeEndpoint at) const {
   return loopback(block_, 1 + at.address * nodes_ + at.node, kRelayed);
 }
-Address RigLoopback::serves_at(RigPlace at) const {
+Address LoopbackHarness::client_address(NodeEndpoint at) const {
   return loopback(block_, 1 + at.address * nodes_ + at.node, kServes);
 }
-Address RigLoopback::ledger_at() const { return loopback(block_, 0, kLedger); }
-Address RigLoopback::onlooker_at() const { return loopback(block_, 0, kOnlooks); }
+Address LoopbackHarness::ledger_address() const { return loopback(block_, 0, kLedger); }
+Address LoopbackHarness::observer_address() const { return loopback(block_, 0, kObserverPort); }
 
-void RigLoopback::run_until(Micros end) {
+void LoopbackHarness::run_until(Micros end) {
   while (now() < end) {
     event_queue_.run_until(now());
     clock_.run_for(std::min<Micros>(2ms, std::max(end - now(), 0us)));
@@ -203,43 +204,45 @@
   event_queue_.run_until(now());
 }
 
-std::string RigLoopback::file(RigPlace at, const char* ending) const {
+std::string LoopbackHarness::file(NodeEndpoint at, const char* ending) const {
   return folder_ + "/n" + std::to_string(at.node) + "-" + std::to_string(at.address) + ending;
 }
 
-void RigLoopback::write_operator(RigPlace at, const std::vector<RigPlace>& seeds) const {
+void LoopbackHarness::write_operator(NodeEndpoint at, const std::vector<NodeEndpoint>& seeds) const {
   std::ofstream out(file(at, ".toml"), std::ios::trunc);
-  out << "[fleet]\nname = \"rig\"\naddress = \"" << to_text(hears_at(at)) << "\"\ntold = \""
-      << to_text(told_at(at)) << "\"\ninterval = \"" << interval_.count() << "us\"\nseeds = [";
-  for (const RigPlace& s : seeds)
-    out << (s == seeds.front() ? "" : ", ") << '"' << to_text(told_at(s)) << '"';
+  out << "[fleet]\nname = \"rig\"\naddress = \"" << to_text(listen_address(at)) << "\"\ntold = \""
+      << to_text(advertised_address(at)) << "\"\ninterval = \"" << interval_.count() << "us\"\nseeds = [";
+  for (const NodeEndpoint& s : seeds)
+    out << (s == seeds.front() ? "" : ", ") << '"' << to_text(advertised_address(s)) << '"';
   out << "]\n" << more_;
 }
 
-void RigLoopback::hold(RigPlace at, const std::string& lease, const std::vector<std::string>& command,
-                       unsigned nodes) {
+void LoopbackHarness::start_lease_holder(NodeEndpoint at, const std::string& lease,
+                                         const std::vector<std::string>& command, unsigned nodes) {
   if (!relays_.contains(at)) relays_[at] = std::make_unique<Relay>(*this, at);
-  senders_[hears_at(at)] = at;
+  senders_[listen_address(at)] = at;
   {
     // Views are asked for past the relays; what is said of leases goes through them.
     std::ofstream out(file(at, ".toml"), std::ios::trunc);
-    out << "[fleet]\nname = \"rig\"\naddress = \"" << to_text(hears_at({0, 0})) << "\"\nseeds = [";
-    for (unsigned n = 0; n < nodes; ++n) out << (n ? ", " : "") << '"' << to_text(hears_at({n, 0})) << '"';
+    out << "[fleet]\nname = \"rig\"\naddress = \"" << to_text(listen_address({0, 0})) << "\"\nseeds = [";
+    for (unsigned n = 0; n < nodes; ++n)
+      out << (n ? ", " : "") << '"' << to_text(listen_address({n, 0})) << '"';
     out << "]\n" << more_;
   }
   std::vector<std::string> words = program_;
   words.insert(words.end(), {"lease", "hold", lease, "--operator", file(at, ".toml"), "--from",
-                             to_text(hears_at(at)), "--told", to_text(told_at(at)), "--"});
+                             to_text(listen_address(at)), "--told", to_text(advertised_address(at)), "--"});
   words.insert(words.end(), command.begin(), command.end());
   processes_[at] = std::make_unique<ChildProcess>(std::move(words), file(at, ".log"));
 }
 
-void RigLoopback::start(RigPlace at, const std::string& name, const std::vector<RigPlace>& seeds) {
+void LoopbackHarness::start(NodeEndpoint at, const std::string& name,
+                            const std::vector<NodeEndpoint>& seeds) {
   if (!relays_.contains(at)) relays_[at] = std::make_unique<Relay>(*this, at);
-  senders_[hears_at(at)] = at;
+  senders_[listen_address(at)] = at;
   write_operator(at, seeds);
   std::ofstream(file(at, ".json"), std::ios::trunc)
-      << R"({"name":")" << name << R"(","listen":")" << to_text(serves_at(at))
+      << R"({"name":")" << name << R"(","listen":")" << to_text(client_address(at))
       << R"(","discovery":"127.0.0.1:9","seed":")" << std::hex << chance_() << std::dec
       << R"(","known":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":")"
       << to_text(loopback(block_, 0, kHosts))
@@ -258,31 +261,31 @@
   processes_[at] = std::make_unique<ChildProcess>(std::move(words), file(at, ".log"));
 }
 
-void RigLoopback::kill(RigPlace at) { processes_.erase(at); }
+void LoopbackHarness::kill(NodeEndpoint at) { processes_.erase(at); }
 
-void RigLoopback::signal(RigPlace at, int number) {
+void LoopbackHarness::signal(NodeEndpoint at, int number) {
   if (const auto it = processes_.find(at); it != processes_.end()) it->second->signal(number);
 }
 
-void RigLoopback::leave(RigPlace at) { signal(at, SIGTERM); }
-void RigLoopback::freeze(RigPlace at, bool on) { signal(at, on ? SIGSTOP : SIGCONT); }
+void LoopbackHarness::leave(NodeEndpoint at) { signal(at, SIGTERM); }
+void LoopbackHarness::freeze(NodeEndpoint at, bool on) { signal(at, on ? SIGSTOP : SIGCONT); }
 
-void RigLoopback::reload(RigPlace at, const std::vector<RigPlace>& seeds) {
+void LoopbackHarness::reload(NodeEndpoint at, const std::vector<NodeEndpoint>& seeds) {
   if (!running(at)) return;
   write_operator(at, seeds);
   signal(at, SIGHUP);
 }
 
-bool RigLoopback::running(RigPlace at) {
+bool LoopbackHarness::running(NodeEndpoint at) {
   const auto it = processes_.find(at);
   return it != processes_.end() && it->second->running();
 }
 
-void RigLoopback::knock(RigPlace at, std::function<void(bool)> answered) {
-  knocks_.push_back(std::make_unique<Knock>(*this, serves_at(at), std::move(answered)));
+void LoopbackHarness::check_serving(NodeEndpoint at, std::function<void(bool)> answered) {
+  knocks_.push_back(std::make_unique<Knock>(*this, client_address(at), std::move(answered)));
 }
 
-void RigLoopback::read_logs(const std::function<void(RigPlace, std::string_view)>& line) {
+void LoopbackHarness::read_logs(const std::function<void(NodeEndpoint, std::string_view)>& line) {
   for (const auto& [at, process] : processes_) {
     std::ifstream in(file(at, ".log"));
     for (std::string text; std::getline(in, text);) line(at, text);
--- a/src/lab/fleet/rig_checker.cpp
+++ b/src/lab/fleet/membership_checker.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/rig_checker.h"
+#include "lab/fleet/membership_checker.h"
 
 #include <algorithm>
 
@@ -18,34 +18,34 @@
 
 }  // namespace
 
-const char* name_of(RigRule rule) {
+const char* name_of(MembershipRule rule) {
   constexpr const char* kNames[] = {"view-settled", "view-false",  "view-ghost", "view-back",
                                     "view-bound",   "view-answer", "view-log"};
   return kNames[static_cast<std::size_t>(rule)];
 }
 
-RigChecker::RigChecker(Micros interval, std::function<void(const RigBroken&)> broken)
+MembershipChecker::MembershipChecker(Micros interval, std::function<void(const MembershipViolation&)> broken)
     : interval_(interval), broken_(std::move(broken)) {}
 
-void RigChecker::up(const std::string& name, Micros now) {
+void MembershipChecker::up(const std::string& name, Micros now) {
   ++changes_;
   running_[name] = Running();
   running_[name].from = now;
   first_start_.erase(name);
 }
 
-void RigChecker::down(const std::string& name, Micros now) {
+void MembershipChecker::down(const std::string& name, Micros now) {
   ++changes_;
   running_.erase(name);
   down_[name] = now;
 }
 
-void RigChecker::paused(const std::string& name, bool on, Micros now) {
+void MembershipChecker::paused(const std::string& name, bool on, Micros now) {
   if (const auto it = running_.find(name); it != running_.end())
     it->second.paused = on, it->second.from = now;
 }
 
-void RigChecker::seen(const std::string& name, const members::ViewQuery& view, Micros now) {
+void MembershipChecker::seen(const std::string& name, const members::ViewQuery& view, Micros now) {
   const auto it = running_.find(name);
   if (it == running_.end()) return;
   Running& r = it->second;
@@ -72,31 +72,32 @@
       members::Generation& last_own = last_start_[name];
       if (row.generation < last_own && now - r.from > interval_ * kLearns &&
           std::any_of(running_.begin(), running_.end(), remembers))
-        broken(RigRule::back, now, name + " runs by an earlier start than before");
+        broken(MembershipRule::back, now, name + " runs by an earlier start than before");
       last_own = std::max(last_own, row.generation);
       const members::Generation first = first_start_.try_emplace(name, row.generation).first->second;
       if (row.generation != first && !accused_.contains(name))
-        broken(RigRule::falsely, now, name + " had to start anew and had run all the time");
+        broken(MembershipRule::falsely, now, name + " had to start anew and had run all the time");
     }
     if (!fresh) {
-      if (row.generation < last.start) broken(RigRule::back, now, who + ": an earlier start");
+      if (row.generation < last.start) broken(MembershipRule::back, now, who + ": an earlier start");
       if (row.generation == last.start && row.incarnation < last.word)
-        broken(RigRule::back, now, who + ": an earlier word");
+        broken(MembershipRule::back, now, who + ": an earlier word");
     }
     if (lives(row.state) && last.dead.value != 0 && row.generation <= last.dead)
-      broken(runs ? RigRule::back : RigRule::ghost, now, who + ": alive again by the start that had failed");
+      broken(runs ? MembershipRule::back : MembershipRule::ghost, now,
+             who + ": alive again by the start that had failed");
     if (row.state == MemberState::failed) {
       last.dead = std::max(last.dead, row.generation);
       if (const auto own = last_start_.find(row.name);
           runs && own != last_start_.end() && row.generation == own->second)
         called_failed_.emplace(row.name, row.generation);
       if (!accuses_.contains(name) && !accused_.contains(row.name) && runs)
-        broken(RigRule::falsely, now, who + ": called failed");
+        broken(MembershipRule::falsely, now, who + ": called failed");
     }
     if (const auto ended = down_.find(row.name);
         !runs && ended != down_.end() && lives(row.state) && !accuses_.contains(name) &&
         now - std::max(ended->second, r.from) > interval_ * kGhostFor)
-      broken(RigRule::ghost, now, who + ": still " + members::name_of(row.state));
+      broken(MembershipRule::ghost, now, who + ": still " + members::name_of(row.state));
     last.start = row.generation;
     last.word = row.incarnation;
   }
@@ -107,7 +108,7 @@
   r.exact_at = exact ? changes_ : 0;
 }
 
-void RigChecker::sent(const std::string& name, std::size_t bytes, Micros now) {
+void MembershipChecker::sent(const std::string& name, std::size_t bytes, Micros now) {
   sent_bytes_ += bytes;
   const auto it = running_.find(name);
   if (it == running_.end()) return;
@@ -115,14 +116,14 @@
   if (now - r.second >= Micros{1'000'000}) r.second = now, r.bytes = 0;
   r.bytes += bytes;
   if (bytes > members::kMaxDatagramBytes || (r.bytes > kMostBytes && r.bytes - bytes <= kMostBytes))
-    broken(RigRule::bound, now, name + " sent " + std::to_string(r.bytes) + " bytes in a second");
+    broken(MembershipRule::bound, now, name + " sent " + std::to_string(r.bytes) + " bytes in a second");
 }
 
-void RigChecker::unanswered(const std::string& name, const std::string& what, Micros now) {
-  broken(RigRule::unanswered, now, name + ": " + what);
+void MembershipChecker::unanswered(const std::string& name, const std::string& what, Micros now) {
+  broken(MembershipRule::unanswered, now, name + ": " + what);
 }
 
-std::string RigChecker::why_not_settled() const {
+std::string MembershipChecker::why_not_settled() const {
   for (const auto& [name, r] : running_) {
     if (!r.asked) return name + " gave no view";
     for (const auto& [other, o] : running_)
@@ -135,24 +136,24 @@
   return "";
 }
 
-bool RigChecker::agree() const {
+bool MembershipChecker::agree() const {
   return std::all_of(running_.begin(), running_.end(), [this](const auto& r) {
     return r.second.exact_at == changes_ && r.second.digest == running_.begin()->second.digest;
   });
 }
 
-bool RigChecker::all_know_gone(const std::string& gone) const {
+bool MembershipChecker::all_know_gone(const std::string& gone) const {
   return std::none_of(running_.begin(), running_.end(),
                       [&](const auto& r) { return !r.second.paused && r.second.listed.contains(gone); });
 }
 
-bool RigChecker::all_know(const std::string& name) const {
+bool MembershipChecker::all_know(const std::string& name) const {
   return std::all_of(running_.begin(), running_.end(),
                      [&](const auto& r) { return r.second.paused || r.second.listed.contains(name); });
 }
 
 // `member name=N standing=S ...`, as docs/oncall.md has it.
-void RigChecker::logged(const std::string& name, std::string_view line) {
+void MembershipChecker::logged(const std::string& name, std::string_view line) {
   const auto it = running_.find(name);
   if (it == running_.end()) return;
   // The file goes on where another process of that name had ended.
@@ -169,15 +170,15 @@
   there ? void(it->second.logs_alive.insert(whom)) : void(it->second.logs_alive.erase(whom));
 }
 
-void RigChecker::settled(Micros now) {
+void MembershipChecker::settled(Micros now) {
   for (const auto& [name, r] : running_) {
     if (logs_ && r.logs_alive != r.listed)
-      broken(RigRule::log, now,
+      broken(MembershipRule::log, now,
              name + ": its log names " + std::to_string(r.logs_alive.size()) + " there, its view " +
                  std::to_string(r.listed.size()));
   }
   ++looks_;
-  if (const std::string why = why_not_settled(); !why.empty()) broken(RigRule::settled, now, why);
+  if (const std::string why = why_not_settled(); !why.empty()) broken(MembershipRule::settled, now, why);
 }
 
 }  // namespace flintweir::lab
--- a/src/lab/fleet/rig_checker.h
+++ b/src/lab/fleet/membership_checker.h
@@ -12,7 +12,7 @@
 
 namespace flintweir::lab {
 
-enum class RigRule {
+enum class MembershipRule {
   settled,     // so long after the last trouble all that run hold one view, of exactly those
   falsely,     // a node that ran and was reached is called failed, or had to start anew
   ghost,       // a killed node comes back alive by an old word, or stands as alive for too long
@@ -21,17 +21,17 @@
   unanswered,  // a running node does not answer for its view or does not serve
   log,         // what a node logged does not lead to the view that it gives
 };
-const char* name_of(RigRule rule);
+const char* name_of(MembershipRule rule);
 
-struct RigBroken {
-  RigRule rule;
+struct MembershipViolation {
+  MembershipRule rule;
   Micros at;
-  std::string what;
+  std::string description;
 };
 
-class RigChecker {
+class MembershipChecker {
  public:
-  RigChecker(Micros interval, std::function<void(const RigBroken&)> broken);
+  MembershipChecker(Micros interval, std::function<void(const MembershipViolation&)> broken);
 
   // One process of that name more, and its end by itself or by a kill.
   void up(const std::string& name, Micros now);
@@ -80,10 +80,10 @@
     std::size_t bytes = 0;
   };
   std::string why_not_settled() const;
-  void broken(RigRule rule, Micros now, std::string what) { broken_({rule, now, std::move(what)}); }
+  void broken(MembershipRule rule, Micros now, std::string what) { broken_({rule, now, std::move(what)}); }
 
   Micros interval_;
-  std::function<void(const RigBroken&)> broken_;
+  std::function<void(const MembershipViolation&)> broken_;
   std::map<std::string, Running> running_;
   std::map<std::string, Micros> down_;                                   // the last end of each name
   std::map<std::string, members::Generation> first_start_, last_start_;  // by what they say of themselves
--- a/src/lab/fleet/rig.cpp
+++ b/src/lab/fleet/membership_experiment.cpp
@@ -1,12 +1,12 @@
-#include "lab/fleet/rig.h"
+#include "lab/fleet/membership_experiment.h"
 
 #include <algorithm>
 #include <deque>
 #include <random>
 
 #include "lab/faults/input_error.h"
-#include "lab/fleet/rig_loopback.h"
-#include "lab/fleet/rig_virtual.h"
+#include "lab/fleet/loopback_harness.h"
+#include "lab/fleet/virtual_harness.h"
 #include "numbers.h"
 
 namespace flintweir::lab {
@@ -18,22 +18,22 @@
 class Onlooker final : net::DatagramEvents {
  public:
   using Got = std::function<void(const members::ViewQuery&)>;
-  explicit Onlooker(RigStage& stage) : stage_(stage) {
-    stage_.onlooker().open_datagrams(stage_.onlooker_at());
-    stage_.onlooker().wait_datagram(*this);
+  explicit Onlooker(FleetHarness& harness) : harness_(harness) {
+    harness_.observer().open_datagrams(harness_.observer_address());
+    harness_.observer().wait_datagram(*this);
   }
-  void ask(RigPlace whom, Got got) {
-    Asked& a = asked_[stage_.hears_at(whom)];
+  void ask(NodeEndpoint whom, Got got) {
+    Asked& a = asked_[harness_.listen_address(whom)];
     // One whose answer got lost is asked again from the start.
-    a = {members::ViewQuery(++nonces_ << 20), std::move(got), stage_.now()};
-    stage_.onlooker().send_datagram(stage_.hears_at(whom), a.asker.next_request());
+    a = {members::ViewQuery(++nonces_ << 20), std::move(got), harness_.now()};
+    harness_.observer().send_datagram(harness_.listen_address(whom), a.asker.next_request());
   }
   // A large view is more than a node shows at once: the part that it held back is asked for again.
   void ask_again(Micros patience) {
     for (auto& [whom, a] : asked_) {
-      if (stage_.now() - a.heard < patience) continue;
-      a.heard = stage_.now();
-      stage_.onlooker().send_datagram(whom, a.asker.next_request());
+      if (harness_.now() - a.heard < patience) continue;
+      a.heard = harness_.now();
+      harness_.observer().send_datagram(whom, a.asker.next_request());
     }
   }
 
@@ -46,7 +46,7 @@
   void datagram_pending() override {
     char bytes[members::kMaxDatagramBytes + 1];
     for (;;) {
-      const net::ReceiveResult r = stage_.onlooker().receive(bytes, sizeof bytes);
+      const net::ReceiveResult r = harness_.observer().receive(bytes, sizeof bytes);
       if (r.status == net::IoStatus::would_block) break;
       const auto it = asked_.find(r.from);
       if (r.status != net::IoStatus::done || it == asked_.end()) continue;
@@ -55,82 +55,83 @@
         asked_.erase(it);
         done.got(done.asker);
       } else {
-        it->second.heard = stage_.now();
-        stage_.onlooker().send_datagram(it->first, it->second.asker.next_request());
+        it->second.heard = harness_.now();
+        harness_.observer().send_datagram(it->first, it->second.asker.next_request());
       }
     }
-    stage_.onlooker().wait_datagram(*this);
+    harness_.observer().wait_datagram(*this);
   }
 
-  RigStage& stage_;
+  FleetHarness& harness_;
   std::map<Address, Asked> asked_;
   std::uint64_t nonces_ = 0;
 };
 
 class Rig {
  public:
-  Rig(const RigPlan& plan, RigStage& stage, std::uint64_t seed, std::string only)
+  Rig(const MembershipPlan& plan, FleetHarness& harness, std::uint64_t seed, std::string only)
       : plan_(plan),
-        stage_(stage),
+        harness_(harness),
         only_(std::move(only)),
         chance_(static_cast<std::knuth_b::result_type>(mix(seed + 0x9e37) | 1)),
-        onlooker_(stage),
-        began_(stage.now()),
-        checker_(plan.interval, [this](const RigBroken& b) {
+        onlooker_(harness),
+        began_(harness.now()),
+        checker_(plan.interval, [this](const MembershipViolation& b) {
           // Each once, however often it is looked at.
-          if (out_.broken.size() < 20 && said_.insert(b.what).second)
-            out_.broken.push_back({b.rule, b.at - began_, b.what});
+          if (out_.violations.size() < 20 && said_.insert(b.description).second)
+            out_.violations.push_back({b.rule, b.at - began_, b.description});
         }) {
     for (unsigned i = 0; i < plan.nodes; ++i) units_.push_back({"n" + std::to_string(i), {i, 0}, false, {}});
-    stage_.on_sent = [this](RigPlace from, std::size_t bytes) {
+    harness_.on_sent = [this](NodeEndpoint from, std::size_t bytes) {
       for (const Unit* u : {&units_[from.node], &units_.back()})
-        if (u->at == from) return checker_.sent(u->name, bytes, stage_.now());
+        if (u->at == from) return checker_.sent(u->name, bytes, harness_.now());
     };
   }
 
-  RigOutcome play() {
+  MembershipResult play() {
     for (unsigned i = 0; i < plan_.seeds; ++i) seeds_.push_back({i * plan_.nodes / plan_.seeds, 0});
     // All within the same 100 ms, the seeds among them.
-    for (unsigned i = 0; i < plan_.nodes; ++i) stage_.at(began_ + part(100ms), [this, i] { start(i); });
+    for (unsigned i = 0; i < plan_.nodes; ++i)
+      harness_.schedule_at(began_ + part(100ms), [this, i] { start(i); });
     look(0);
     const Micros ready = began_ + plan_.starts;
     std::uint64_t before = 0;
-    stage_.at(ready, [this, &before] { before = checker_.sent_bytes(); });
+    harness_.schedule_at(ready, [this, &before] { before = checker_.sent_bytes(); });
     const Micros rest_from = ready, rest_to = ready + std::min<Micros>(plan_.quiet / 2, 3s);
-    stage_.at(rest_to, [this, &before, rest_from, rest_to] {
-      out_.bytes_at_rest = static_cast<double>(checker_.sent_bytes() - before) /
-                           seconds(rest_to - rest_from) / static_cast<double>(plan_.nodes);
+    harness_.schedule_at(rest_to, [this, &before, rest_from, rest_to] {
+      out_.idle_bytes_per_second = static_cast<double>(checker_.sent_bytes() - before) /
+                                   seconds(rest_to - rest_from) / static_cast<double>(plan_.nodes);
     });
     Micros last = rest_to;
-    for (const RigTrouble& t : drawn()) {
+    for (const FleetFault& t : drawn()) {
       const Micros at = rest_to + part(plan_.quiet);
-      out_.troubles.push_back(t.name);
+      out_.faults.push_back(t.name);
       last = std::max(last, at + t.lasts + 100ms);
       cut_ = cut_ || t.kind.starts_with("cut");
-      stage_.at(at, [this, t] { begin(t); });
+      harness_.schedule_at(at, [this, t] { begin(t); });
     }
     last_trouble_ = last;
-    stage_.run_until(last + plan_.settles);
-    stage_.read_logs([this](RigPlace at, std::string_view line) {
+    harness_.run_until(last + plan_.settles);
+    harness_.read_logs([this](NodeEndpoint at, std::string_view line) {
       for (const Unit& u : units_)
         if (u.at == at && u.up) checker_.logged(u.name, line);
     });
-    checker_.settled(stage_.now());
-    out_.called_failed = checker_.called_failed();
+    checker_.settled(harness_.now());
+    out_.running_reported_failed = checker_.called_failed();
     if (agree_since_ != kNever) {
-      out_.settled = std::max(0.0, seconds(agree_since_ - last_trouble_) * 1e3);
+      out_.reconverged_ms = std::max(0.0, seconds(agree_since_ - last_trouble_) * 1e3);
     }
-    out_.looks = checker_.looks();
-    out_.lasted = seconds(stage_.now() - began_);
-    stage_.on_sent = nullptr;
-    for (Unit& u : units_) stage_.kill(u.at);
+    out_.observations = checker_.looks();
+    out_.duration_s = seconds(harness_.now() - began_);
+    harness_.on_sent = nullptr;
+    for (Unit& u : units_) harness_.kill(u.at);
     return std::move(out_);
   }
 
  private:
   struct Unit {
     std::string name;
-    RigPlace at;
+    NodeEndpoint at;
     bool up = false;
     bool frozen = false;
     Micros heard_from{0}, started{0};
@@ -140,11 +141,13 @@
     return Micros{static_cast<std::int64_t>(static_cast<double>(of.count()) *
                                             std::generate_canonical<double, 32>(chance_))};
   }
-  void after(Micros in, std::function<void()> act) { stage_.at(stage_.now() + in, std::move(act)); }
+  void after(Micros in, std::function<void()> act) {
+    harness_.schedule_at(harness_.now() + in, std::move(act));
+  }
 
-  std::vector<RigTrouble> drawn() {
-    std::vector<RigTrouble> all, out;
-    for (const RigTrouble& t : plan_.troubles)
+  std::vector<FleetFault> drawn() {
+    std::vector<FleetFault> all, out;
+    for (const FleetFault& t : plan_.faults)
       if (only_.empty() || t.kind == only_ || t.name == only_) all.push_back(t);
     if (!only_.empty() && all.empty())
       throw InputError(plan_.name + ":1: there is no trouble '" + only_ + "'");
@@ -171,21 +174,21 @@
     Unit& u = units_[i];
     if (u.up) return;
     u.up = true;
-    u.heard_from = u.started = stage_.now();
-    checker_.up(u.name, stage_.now());
-    stage_.start(u.at, u.name, seeds_);
+    u.heard_from = u.started = harness_.now();
+    checker_.up(u.name, harness_.now());
+    harness_.start(u.at, u.name, seeds_);
   }
   void kill(unsigned i) {
     Unit& u = units_[i];
     if (!u.up) return;
     u.up = false;
-    stage_.kill(u.at);
-    checker_.down(u.name, stage_.now());
+    harness_.kill(u.at);
+    checker_.down(u.name, harness_.now());
     agree_since_ = kNever;
   }
   void crash(unsigned i) {
     kill(i);
-    crashed_.emplace_back(units_[i].name, stage_.now());
+    crashed_.emplace_back(units_[i].name, harness_.now());
   }
   void excuse(const std::vector<unsigned>& nodes, bool accused, bool accuses) {
     for (const unsigned i : nodes) {
@@ -208,11 +211,11 @@
   void treat(Micros lasts, Of of, Change change) {
     for (unsigned a = 0; a < plan_.nodes; ++a)
       for (unsigned b = 0; b < plan_.nodes; ++b)
-        if (a != b && of(a, b)) change(stage_.way(a, b));
+        if (a != b && of(a, b)) change(harness_.link(a, b));
     after(lasts, [this, of] {
       for (unsigned a = 0; a < plan_.nodes; ++a)
         for (unsigned b = 0; b < plan_.nodes; ++b)
-          if (a != b && of(a, b)) stage_.way(a, b) = DatagramFaults();
+          if (a != b && of(a, b)) harness_.link(a, b) = DatagramFaults();
     });
   }
   // A seed that stays where it is: where all had gone, whoever starts again could find nobody.
@@ -223,7 +226,7 @@
     return out;
   }
   // Which part of a fleet cut in so many a node is in; the first has that share.
-  std::vector<unsigned> parts(const RigTrouble& t) {
+  std::vector<unsigned> parts(const FleetFault& t) {
     std::vector<unsigned> out(units_.size());
     const std::vector<unsigned> first = some(t.share > 0 ? t.share : 1.0 / t.parts);
     for (unsigned& o : out) o = 1 + static_cast<unsigned>(chance_() % (t.parts - 1));
@@ -245,7 +248,7 @@
     return out;
   }
 
-  void begin(const RigTrouble& t) {
+  void begin(const FleetFault& t) {
     agree_since_ = kNever;
     if (t.kind == "crash" || t.kind == "crash-back" || t.kind == "moved" || t.kind == "clock-back") {
       for (const unsigned i : some(t.share)) {
@@ -257,7 +260,7 @@
           if (t.kind == "crash") return crash(i);
           kill(i);
           if (t.kind == "moved" && i != stays()) units_[i].at.address ^= 1;
-          if (t.kind == "clock-back") stage_.set_clock_back(units_[i].at, 3600s);
+          if (t.kind == "clock-back") harness_.set_clock_lag(units_[i].at, 3600s);
           after(t.lasts, [this, i] { start(i); });
         });
       }
@@ -271,8 +274,8 @@
           Unit& u = units_[i];
           if (!u.up) return;
           u.up = false;
-          checker_.down(u.name, stage_.now());
-          stage_.leave(u.at);
+          checker_.down(u.name, harness_.now());
+          harness_.leave(u.at);
         });
         in += t.lasts / static_cast<std::int64_t>(who.size());
       }
@@ -347,16 +350,16 @@
         for (Micros at = 0us; at < t.lasts; at += 10ms)
           after(at, [this, i, each] {
             for (Micros sent = 0us; sent < 10ms; sent += each)
-              stage_.onlooker().send_datagram(stage_.hears_at(units_[i].at), rubbish());
+              harness_.observer().send_datagram(harness_.listen_address(units_[i].at), rubbish());
           });
       }
     } else if (t.kind == "same-name") {
       for (const unsigned i : some(0, 1)) {
         // A verdict on the younger one must not hurt the elder.
-        const RigPlace there{i, 2};
+        const NodeEndpoint there{i, 2};
         checker_.may_be_failed(units_[i].name);  // it takes a later start than the younger one's
-        stage_.start(there, units_[i].name, seeds_);
-        after(t.lasts, [this, there] { stage_.kill(there); });
+        harness_.start(there, units_[i].name, seeds_);
+        after(t.lasts, [this, there] { harness_.kill(there); });
       }
     } else if (t.kind == "join") {
       // On the machine of one that runs, with an address of its own.
@@ -367,25 +370,25 @@
       }
       if (units_[no].up) return;
       start(no);
-      joins_.emplace_back("joins", stage_.now());
+      joins_.emplace_back("joins", harness_.now());
     } else if (t.kind == "reload") {
       for (const unsigned i : some(t.share))
         if (units_[i].up)
-          stage_.reload(units_[i].at, {{(i + 1) % plan_.nodes, 0}, {(i + 2) % plan_.nodes, 0}});
+          harness_.reload(units_[i].at, {{(i + 1) % plan_.nodes, 0}, {(i + 2) % plan_.nodes, 0}});
     }
   }
 
   void freeze(unsigned i, Micros lasts) {
     Unit& u = units_[i];
     if (!u.up || std::exchange(u.frozen, true)) return;
-    const RigPlace at = u.at;
-    stage_.freeze(at, true);
-    checker_.paused(u.name, true, stage_.now());
+    const NodeEndpoint at = u.at;
+    harness_.freeze(at, true);
+    checker_.paused(u.name, true, harness_.now());
     after(lasts, [this, i, at] {
       units_[i].frozen = false;
-      units_[i].heard_from = stage_.now();
-      stage_.freeze(at, false);
-      checker_.paused(units_[i].name, false, stage_.now());
+      units_[i].heard_from = harness_.now();
+      harness_.freeze(at, false);
+      checker_.paused(units_[i].name, false, harness_.now());
     });
   }
 
@@ -400,7 +403,7 @@
   // Everybody is asked for his view, in turn, all the while.
   void look(unsigned round) {
     const Micros every = std::max<Micros>(plan_.interval / 3, 50ms);
-    const Micros now = stage_.now();
+    const Micros now = harness_.now();
     // Of a large fleet a part each time: a whole view is many datagrams.
     const std::size_t parts = 1 + units_.size() * units_.size() / 20000;
     const Micros patience = std::max<Micros>(5s, every * static_cast<std::int64_t>(4 * parts));
@@ -411,8 +414,8 @@
       onlooker_.ask(u.at, [this, no, at = u.at](const members::ViewQuery& view) {
         Unit& unit = units_[no];
         if (!unit.up || unit.at != at) return;
-        unit.heard_from = stage_.now();
-        checker_.seen(unit.name, view, stage_.now());
+        unit.heard_from = harness_.now();
+        checker_.seen(unit.name, view, harness_.now());
         judge();
       });
       // Also under rubbish and on a busy machine.
@@ -422,10 +425,10 @@
       }
       // Not while it may still be starting, on a busy machine.
       if (round / parts % 10 == no / parts % 10 && now - u.started > plan_.starts) {
-        stage_.knock(u.at, [this, no, at = u.at](bool well) {
+        harness_.check_serving(u.at, [this, no, at = u.at](bool well) {
           const Unit& unit = units_[no];
           if (!well && unit.up && unit.at == at && !unit.frozen)
-            checker_.unanswered(unit.name, "does not answer its front", stage_.now());
+            checker_.unanswered(unit.name, "does not answer its front", harness_.now());
         });
       }
     }
@@ -433,65 +436,69 @@
   }
 
   void judge() {
-    const Micros now = stage_.now();
+    const Micros now = harness_.now();
     for (auto it = crashed_.begin(); it != crashed_.end();) {
       if (!checker_.all_know_gone(it->first)) {
         ++it;
         continue;
       }
-      out_.crash_known.push_back(seconds(now - it->second) * 1e3);
+      out_.crash_detection_ms.push_back(seconds(now - it->second) * 1e3);
       it = crashed_.erase(it);
     }
     std::erase_if(joins_, [&](const auto& j) {
       const bool known = checker_.all_know(j.first);
-      if (known) out_.join_known.push_back(seconds(now - j.second) * 1e3);
+      if (known) out_.join_detection_ms.push_back(seconds(now - j.second) * 1e3);
       return known;
     });
     if (!checker_.agree()) {
       agree_since_ = kNever;
     } else if (agree_since_ == kNever) {
       agree_since_ = now;
-      if (!out_.joined && checker_.running() == units_.size()) out_.joined = seconds(now - began_) * 1e3;
+      if (!out_.converged_ms && checker_.running() == units_.size())
+        out_.converged_ms = seconds(now - began_) * 1e3;
     }
   }
 
-  const RigPlan& plan_;
-  RigStage& stage_;
+  const MembershipPlan& plan_;
+  FleetHarness& harness_;
   std::string only_;
   std::knuth_b chance_;
   Onlooker onlooker_;
   Micros began_, last_trouble_{0}, agree_since_ = kNever;
   std::vector<Unit> units_;
-  std::vector<RigPlace> seeds_;
+  std::vector<NodeEndpoint> seeds_;
   std::vector<std::pair<std::string, Micros>> crashed_, joins_;
-  RigOutcome out_;
+  MembershipResult out_;
   std::set<std::string> said_;
   std::set<unsigned> accused_, accuse_;  // machines whose processes may be called failed, or call others so
   bool cut_ = false;                     // a cut is among the troubles drawn
-  RigChecker checker_;
+  MembershipChecker checker_;
 };
 
 }  // namespace
 
-RigOutcome play_rig(const RigPlan& plan, RigStage& stage, std::uint64_t seed, const std::string& only) {
-  return Rig(plan, stage, seed, only).play();
+MembershipResult run_membership_experiment(const MembershipPlan& plan, FleetHarness& harness,
+                                           std::uint64_t seed, const std::string& only) {
+  return Rig(plan, harness, seed, only).play();
 }
 
-RigOutcome run_rig_virtual(const RigPlan& plan, std::uint64_t seed, const std::string& only,
-                           std::string* logged, std::optional<PlainWay> plain) {
-  RigVirtual stage(plan.nodes, plan.interval, plan.forgets, seed, logged, plain);
-  return play_rig(plan, stage, seed, only);
+MembershipResult run_membership_virtual(const MembershipPlan& plan, std::uint64_t seed,
+                                        const std::string& only, std::string* logged,
+                                        std::optional<BaselineProtocol> plain) {
+  VirtualHarness harness(plan.nodes, plan.interval, plan.forgets, seed, logged, plain);
+  return run_membership_experiment(plan, harness, seed, only);
 }
 
-RigOutcome run_rig_real(const RigPlan& plan, std::uint64_t seed, const std::string& only,
-                        const std::vector<std::string>& program, const std::string& folder) {
-  RigPlan real = plan;
-  std::erase_if(real.troubles, [](const RigTrouble& t) {
-    return std::any_of(rig_kinds().begin(), rig_kinds().end(),
-                       [&](const RigKind& k) { return k.virtual_only && t.kind == k.name; });
+MembershipResult run_membership_loopback(const MembershipPlan& plan, std::uint64_t seed,
+                                         const std::string& only, const std::vector<std::string>& program,
+                                         const std::string& folder) {
+  MembershipPlan real = plan;
+  std::erase_if(real.faults, [](const FleetFault& t) {
+    return std::any_of(fleet_fault_kinds().begin(), fleet_fault_kinds().end(),
+                       [&](const FleetFaultKind& k) { return k.virtual_only && t.kind == k.name; });
   });
-  RigLoopback stage(program, folder, plan.nodes, plan.interval, seed);
-  return play_rig(real, stage, seed, only);
+  LoopbackHarness harness(program, folder, plan.nodes, plan.interval, seed);
+  return run_membership_experiment(real, harness, seed, only);
 }
 
 }  // namespace flintweir::lab
--- a/src/lab/fleet/rig_plan.cpp
+++ b/src/lab/fleet/membership_plan.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/rig_plan.h"
+#include "lab/fleet/membership_plan.h"
 
 #include <algorithm>
 
@@ -8,8 +8,8 @@
 
 using namespace std::chrono_literals;
 
-const std::vector<RigKind>& rig_kinds() {
-  static const std::vector<RigKind> kinds = {
+const std::vector<FleetFaultKind>& fleet_fault_kinds() {
+  static const std::vector<FleetFaultKind> kinds = {
       {"crash", false, "a share of the nodes is killed within 100 ms and stays away"},
       {"crash-back", false, "a share is killed and starts again under the same names after 'lasts'"},
       {"moved", false, "a share is killed and starts again at other addresses after 'lasts'"},
@@ -34,7 +34,7 @@
   return kinds;
 }
 
-bool RigPlan::is_one(const std::string& path) {
+bool MembershipPlan::is_membership_experiment(const std::string& path) {
   try {
     return toml::parse_file(path)["kind"].value_or(std::string()) == "fleet";
   } catch (const toml::parse_error&) {
@@ -45,7 +45,7 @@
 namespace {
 
 // What a variant may set as well.
-void scale(TableReader& f, RigPlan& plan) {
+void scale(TableReader& f, MembershipPlan& plan) {
   plan.nodes = f.count("nodes", plan.nodes, 1, 2000);
   plan.at_once = f.count("at_once", plan.at_once, 0, 16);
   plan.starts = f.duration("starts", plan.starts, 100ms);
@@ -53,8 +53,8 @@
   plan.settles = f.duration("settles", plan.settles, 1s);
 }
 
-RigPlan read(const toml::table& whole, const std::string& path, const std::string& variant) {
-  RigPlan out;
+MembershipPlan read(const toml::table& whole, const std::string& path, const std::string& variant) {
+  MembershipPlan out;
   TableReader top(whole, "", path);
   top.string("kind", "fleet", {"fleet"});
   out.name = top.string("name", "");
@@ -64,14 +64,14 @@
   out.interval = top.duration("interval", 300ms, 50ms);
   out.forgets = top.duration("forgets", 60min, 1min);
   scale(top, out);
-  RigPlan changed = out;
+  MembershipPlan changed = out;
   bool found = variant.empty();
   for (TableReader& v : top.tables("variant")) {
     const std::string name = v.string("name", "");
     out.variants.push_back(name);
     const bool chosen = name == variant;
     found = found || chosen;
-    RigPlan with = out;
+    MembershipPlan with = out;
     scale(v, with);
     v.reject_unknown_keys();
     if (chosen) changed = with;
@@ -80,9 +80,9 @@
   changed.variants = out.variants;
   out = changed;
   std::vector<std::string> kinds;
-  for (const RigKind& k : rig_kinds()) kinds.emplace_back(k.name);
+  for (const FleetFaultKind& k : fleet_fault_kinds()) kinds.emplace_back(k.name);
   for (TableReader& f : top.tables("trouble")) {
-    RigTrouble t;
+    FleetFault t;
     t.kind = f.string("kind", "", kinds);
     if (t.kind.empty()) f.fail("kind", "is missing");
     t.name = f.string("name", t.kind);
@@ -93,7 +93,7 @@
     t.parts = f.count("parts", 2, 2, 8);
     t.one_way = f.boolean("one_way", false);
     f.reject_unknown_keys();
-    out.troubles.push_back(t);
+    out.faults.push_back(t);
   }
   top.reject_unknown_keys();
   return out;
@@ -101,7 +101,7 @@
 
 }  // namespace
 
-RigPlan RigPlan::of_file(const std::string& path, const std::string& variant) {
+MembershipPlan MembershipPlan::from_file(const std::string& path, const std::string& variant) {
   try {
     return read(toml::parse_file(path), path, variant);
   } catch (const toml::parse_error& e) {
--- a/src/lab/fleet/rig_plan.h
+++ b/src/lab/fleet/membership_plan.h
@@ -9,8 +9,8 @@
 
 namespace flintweir::lab {
 
-// One kind of trouble; what it does is in its row of rig_kinds().
-struct RigTrouble {
+// One kind of trouble; what it does is in its row of fleet_fault_kinds().
+struct FleetFault {
   std::string kind, name;  // the name it is drawn by, if any of its own
   double share = 0;        // of the nodes, at least one
   double size = 0;
@@ -19,23 +19,23 @@
   bool one_way = false;
 };
 
-struct RigKind {
+struct FleetFaultKind {
   const char* name;
   bool virtual_only;
-  const char* does;
+  const char* description;
 };
-const std::vector<RigKind>& rig_kinds();
+const std::vector<FleetFaultKind>& fleet_fault_kinds();
 
-struct RigPlan {
+struct MembershipPlan {
   // True where the file is one for the rig: its `kind` is "fleet".
-  static bool is_one(const std::string& path);
+  static bool is_membership_experiment(const std::string& path);
   // Throws InputError.
-  static RigPlan of_file(const std::string& path, const std::string& variant = "");
+  static MembershipPlan from_file(const std::string& path, const std::string& variant = "");
 
   std::string name, about;
   unsigned nodes = 9, seeds = 2, at_once = 2;
   Micros interval{0}, starts{4'000'000}, quiet{6'000'000}, settles{12'000'000}, forgets{0};
-  std::vector<RigTrouble> troubles;
+  std::vector<FleetFault> faults;
   std::vector<std::string> variants;
 };
 
--- a/src/lab/fleet/scale_node.cpp
+++ b/src/lab/fleet/node_scaling.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/scale_node.h"
+#include "lab/fleet/node_scaling.h"
 
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -269,8 +269,9 @@
 
 }  // namespace
 
-std::vector<NodeScale> scale_node(const std::vector<std::string>& program, const std::vector<unsigned>& sizes,
-                                  const std::string& folder) {
+std::vector<NodeScalingResult> measure_node_scaling(const std::vector<std::string>& program,
+                                                    const std::vector<unsigned>& sizes,
+                                                    const std::string& folder) {
   rlimit limit;
   getrlimit(RLIMIT_NOFILE, &limit);
   limit.rlim_cur = limit.rlim_max;
@@ -278,9 +279,9 @@
   const unsigned block = 1 + static_cast<unsigned>(getpid()) % 250;
   const std::string host_ip = "127.21." + std::to_string(block) + ".1",
                     ip = "127.21." + std::to_string(block) + ".2";
-  std::vector<NodeScale> out;
+  std::vector<NodeScalingResult> out;
   for (const unsigned size : sizes) {
-    NodeScale one;
+    NodeScalingResult one;
     one.sessions = size;
     {  // the floor: the same without a node
       Hosts hosts(listening(host_ip.c_str(), 9001));
@@ -292,7 +293,7 @@
         hosts.speak(1);
         clients.hear(clients.size(), hosts, took);
       }
-      set_ms(one.floor_ms, took, 0.5, 0.99, 0.999);
+      set_ms(one.baseline_ms, took, 0.5, 0.99, 0.999);
     }
     Hosts hosts(listening(host_ip.c_str(), 9001));
     const std::string file = folder + "/scale.json";
@@ -334,17 +335,17 @@
     Histogram busy;
     hosts.speak(rounds);
     const std::size_t heard = clients.hear(clients.size() * rounds, hosts, busy);
-    one.lines_a_second = static_cast<double>(heard) / seconds(since(began));
-    one.cpu_us_a_line =
+    one.lines_per_second = static_cast<double>(heard) / seconds(since(began));
+    one.cpu_us_per_line =
         (use_of(node.pid()).cpu - before.cpu) * 1e6 / static_cast<double>(std::max<std::size_t>(heard, 1));
     // As many as a fifth come back in one moment, as fast as connections can be made.
     const unsigned back = std::min(size / 5, 9'500u - std::min(9'500u, size));
     if (back > 0) {
       refused = 0;
       clients.open(ip.c_str(), 8081, back, back, returned, refused);
-      one.returned = back;
+      one.reconnected = back;
       one.refused += refused;
-      set_ms(one.return_first_ms, returned, 0.5, 0.99, 1);
+      set_ms(one.reconnect_ms, returned, 0.5, 0.99, 1);
     }
     out.push_back(one);
   }
--- a/src/lab/fleet/rig_virtual.cpp
+++ b/src/lab/fleet/virtual_harness.cpp
@@ -1,4 +1,4 @@
-#include "lab/fleet/rig_virtual.h"
+#include "lab/fleet/virtual_harness.h"
 
 #include <cstdio>
 
@@ -26,8 +26,8 @@
 
 }  // namespace
 
-RigVirtual::RigVirtual(unsigned nodes, Micros interval, Micros forgets, std::uint64_t seed,
-                       std::string* logged, std::optional<PlainWay> plain)
+VirtualHarness::VirtualHarness(unsigned nodes, Micros interval, Micros forgets, std::uint64_t seed,
+                               std::string* logged, std::optional<BaselineProtocol> plain)
     : nodes_(nodes),
       interval_(interval),
       forgets_(forgets),
@@ -36,25 +36,25 @@
       plain_(plain),
       event_queue_(kStart),
       network_(event_queue_, LinkModel(), seed),
-      ways_(std::size_t{nodes} * nodes) {
+      links_(std::size_t{nodes} * nodes) {
   for (unsigned i = 0; i < nodes * kAddresses; ++i) network_.add_machine(ZoneId{0});
-  onlooks_ = network_.add_machine(ZoneId{0});
-  onlooker_ = std::make_unique<Process>(network_, onlooks_, 64);
+  observer_machine_ = network_.add_machine(ZoneId{0});
+  observer_ = std::make_unique<Process>(network_, observer_machine_, 64);
   network_.set_datagram_faults(
       [this](MachineId from, MachineId to, std::size_t bytes) -> const DatagramFaults* {
-        if (from == onlooks_ || to == onlooks_) return nullptr;
+        if (from == observer_machine_ || to == observer_machine_) return nullptr;
         if (on_sent) on_sent({from.value % nodes_, from.value / nodes_}, bytes);
-        return &ways_[from.value % nodes_ * nodes_ + to.value % nodes_];
+        return &links_[from.value % nodes_ * nodes_ + to.value % nodes_];
       });
   net::set_log_sink(this);
 }
 
-RigVirtual::~RigVirtual() {
+VirtualHarness::~VirtualHarness() {
   units_.clear();
   net::set_log_sink(nullptr);
 }
 
-void RigVirtual::write_line(const char* text) {
+void VirtualHarness::write_line(const char* text) {
   const std::uint32_t machine =
       called_ ? this->machine(*called_).value : network_.last_active_machine().value;
   if (const auto it = units_.find({machine % nodes_, machine / nodes_}); it != units_.end())
@@ -65,20 +65,22 @@
   logged_->append(when).append(text).append("\n");
 }
 
-void RigVirtual::read_logs(const std::function<void(RigPlace, std::string_view)>& line) {
+void VirtualHarness::read_logs(const std::function<void(NodeEndpoint, std::string_view)>& line) {
   for (const auto& [at, unit] : units_)
     for (const std::string& text : unit.log) line(at, text);
 }
 
-Address RigVirtual::hears_at(RigPlace at) const { return VirtualNetwork::address(machine(at), kPort); }
+Address VirtualHarness::listen_address(NodeEndpoint at) const {
+  return VirtualNetwork::address(machine(at), kPort);
+}
 
-setup::FleetSection RigVirtual::section(RigPlace at, const std::vector<RigPlace>& seeds) const {
-  setup::FleetSection out{"lab", "", hears_at(at), hears_at(at), {}, interval_, forgets_, 4096};
-  for (const RigPlace& s : seeds) out.seeds.push_back(hears_at(s));
+setup::FleetSection VirtualHarness::section(NodeEndpoint at, const std::vector<NodeEndpoint>& seeds) const {
+  setup::FleetSection out{"lab", "", listen_address(at), listen_address(at), {}, interval_, forgets_, 4096};
+  for (const NodeEndpoint& s : seeds) out.seeds.push_back(listen_address(s));
   return out;
 }
 
-void RigVirtual::start_bare(RigPlace at) {
+void VirtualHarness::start_process(NodeEndpoint at) {
   units_.erase(at);
   Unit& u = units_[at];
   u.process = std::make_unique<Process>(network_, machine(at), 64);
@@ -88,13 +90,14 @@
   u.timers = std::make_unique<net::TimerQueue>(*u.process);
 }
 
-void RigVirtual::start(RigPlace at, const std::string& name, const std::vector<RigPlace>& seeds) {
-  start_bare(at);
+void VirtualHarness::start(NodeEndpoint at, const std::string& name, const std::vector<NodeEndpoint>& seeds) {
+  start_process(at);
   Unit& u = units_[at];
   u.start = ++starts_;
   if (plain_) {
-    u.plain = std::make_unique<PlainPeers>(*u.process, *u.timers, *plain_, hears_at(at), name,
-                                           section(at, seeds).seeds, interval_, mix(seed_ * 4096 + starts_));
+    u.plain = std::make_unique<BaselineMembership>(*u.process, *u.timers, *plain_, listen_address(at), name,
+                                                   section(at, seeds).seeds, interval_,
+                                                   mix(seed_ * 4096 + starts_));
     return u.plain->begin();
   }
   u.peers = std::make_unique<node::FleetMember>(*u.process, *u.timers, section(at, seeds), name, "lab",
@@ -107,7 +110,7 @@
 }
 
 // As Node::leave does: told at once, gone some seconds later.
-void RigVirtual::leave(RigPlace at) {
+void VirtualHarness::leave(NodeEndpoint at) {
   const auto it = units_.find(at);
   if (it == units_.end()) return;
   called_ = at;
@@ -118,11 +121,11 @@
   });
 }
 
-void RigVirtual::freeze(RigPlace at, bool on) {
+void VirtualHarness::freeze(NodeEndpoint at, bool on) {
   if (const auto it = units_.find(at); it != units_.end()) it->second.process->freeze(on);
 }
 
-void RigVirtual::reload(RigPlace at, const std::vector<RigPlace>& seeds) {
+void VirtualHarness::reload(NodeEndpoint at, const std::vector<NodeEndpoint>& seeds) {
   called_ = at;
   if (const auto it = units_.find(at); it != units_.end() && it->second.peers)
     it->second.peers->reload(section(at, seeds));
--- a/src/lab/leases/lease_rig.cpp
+++ b/src/lab/leases/lease_rig.cpp
@@ -10,8 +10,8 @@
 #include <random>
 #include <set>
 
-#include "lab/fleet/rig_loopback.h"
-#include "lab/fleet/rig_virtual.h"
+#include "lab/fleet/loopback_harness.h"
+#include "lab/fleet/virtual_harness.h"
 #include "node/lease_holder.h"
 #include "numbers.h"
 
@@ -83,7 +83,7 @@
 class LeaseStage {
  public:
   virtual ~LeaseStage() = default;
-  virtual RigStage& rig() = 0;
+  virtual FleetHarness& rig() = 0;
   virtual unsigned holders() const = 0;
   virtual void start_voter(unsigned v) = 0;
   virtual void hold(unsigned h) = 0;
@@ -111,26 +111,27 @@
         folders_(folders),
         stage_(program, folder, kVoters + kProcesses, 300ms, seed),
         network_(stage_.network()) {
-    network_.open_datagrams(stage_.ledger_at());
+    network_.open_datagrams(stage_.ledger_address());
     network_.wait_datagram(*this);
     for (const std::string& v : voters()) section_ += (section_.empty() ? "\"" : ", \"") + v + '"';
     section_ = "[leases]\nvoters = [" + section_ + "]\nlength = \"2s\"\n";
-    stage_.add_section(section_);
+    stage_.set_operator_sections(section_);
     ledger_.runs = [](int pid) { return runs(pid); };
   }
   ~Processes() override { network_.shut_down(); }
-  RigStage& rig() override { return stage_; }
+  FleetHarness& rig() override { return stage_; }
   unsigned holders() const override { return kProcesses; }
   void start_voter(unsigned v) override {
     if (folders_) {
       std::filesystem::create_directories(promises_of(v));
-      stage_.add_section(section_ + "folder = \"" + promises_of(v) + "\"\n");
+      stage_.set_operator_sections(section_ + "folder = \"" + promises_of(v) + "\"\n");
     }
     stage_.start({v, 0}, voters()[v], {{0, 0}, {1, 0}, {2, 0}});
   }
   void hold(unsigned h) override {
-    stage_.hold({kVoters + h, 0}, kLease,
-                {actor_, "act", "--ledger", to_text(stage_.ledger_at()), "--as", std::to_string(h)}, kVoters);
+    stage_.start_lease_holder(
+        {kVoters + h, 0}, kLease,
+        {actor_, "act", "--ledger", to_text(stage_.ledger_address()), "--as", std::to_string(h)}, kVoters);
   }
   void kill_holder(unsigned h) override { stage_.kill({kVoters + h, 0}); }
   void leave(unsigned h) override { stage_.leave({kVoters + h, 0}); }
@@ -142,7 +143,7 @@
   std::map<std::uint64_t, std::set<unsigned>> held() override {
     std::map<std::uint64_t, std::set<unsigned>> out;
     for (unsigned h = 0; h < kProcesses; ++h) {
-      std::ifstream in(stage_.log_of({kVoters + h, 0}));
+      std::ifstream in(stage_.log_path({kVoters + h, 0}));
       for (std::string line; std::getline(in, line);) {
         const std::size_t at = line.find(" token=");
         if (line.find("lease: held") == line.npos || at == line.npos) continue;
@@ -174,7 +175,7 @@
   Ledger& ledger_;
   std::string actor_, folder_, section_;
   bool folders_;
-  RigLoopback stage_;
+  LoopbackHarness stage_;
   net::KernelNetwork network_;
 };
 
@@ -186,11 +187,12 @@
       : ledger_(ledger), count_(holders), seed_(seed), stage_(kVoters + holders, 300ms, 1h, seed, nullptr) {
     own_.leases = setup::LeasesSection{voters(), kLength, ""};
     own_.fleet = setup::FleetSection{"lab", "", {}, {}, {}, 300ms, 1h, 4096};
-    for (unsigned v = 0; v < kVoters; ++v) own_.fleet->seeds.push_back(stage_.hears_at({v, 0}));
+    for (unsigned v = 0; v < kVoters; ++v) own_.fleet->seeds.push_back(stage_.listen_address({v, 0}));
     own_.fleet->address = own_.fleet->seeds.front();
-    stage_.vote(*own_.leases);
+    stage_.enable_voting(*own_.leases);
     for (unsigned n = 0; n < kVoters + count_; ++n)
-      stage_.set_rate({n, 0}, mix(seed + n) % 2 ? 1 - leases::kMaxClockDrift : 1 + leases::kMaxClockDrift);
+      stage_.set_clock_rate({n, 0},
+                            mix(seed + n) % 2 ? 1 - leases::kMaxClockDrift : 1 + leases::kMaxClockDrift);
     ledger_.runs = [this](int pid) {
       return std::any_of(holders_.begin(), holders_.end(),
                          [&](const auto& h) { return h.second->pid == pid; });
@@ -199,12 +201,12 @@
   ~Virtual() override {
     for (unsigned h = 0; h < count_; ++h) kill_holder(h);
   }
-  RigStage& rig() override { return stage_; }
+  FleetHarness& rig() override { return stage_; }
   unsigned holders() const override { return count_; }
   void start_voter(unsigned v) override { stage_.start({v, 0}, voters()[v], {{0, 0}, {1, 0}, {2, 0}}); }
   void hold(unsigned h) override {
-    const RigPlace at{kVoters + h, 0};
-    stage_.start_bare(at);
+    const NodeEndpoint at{kVoters + h, 0};
+    stage_.start_process(at);
     holders_[h] = std::make_unique<One>(*this, h, ++pids_);
     holders_[h]->holder.start();
   }
@@ -227,8 +229,9 @@
           pid(pid),
           timers(of.stage_.timers({kVoters + h, 0})),
           holder(of.stage_.process({kVoters + h, 0}), timers, of.own_, kLease,
-                 "h" + std::to_string(h) + '/' + std::to_string(pid), of.stage_.hears_at({kVoters + h, 0}),
-                 std::nullopt, mix(of.seed_ * 1024 + static_cast<std::uint64_t>(pid)), *this) {}
+                 "h" + std::to_string(h) + '/' + std::to_string(pid),
+                 of.stage_.listen_address({kVoters + h, 0}), std::nullopt,
+                 mix(of.seed_ * 1024 + static_cast<std::uint64_t>(pid)), *this) {}
     void lease_acquired(leases::Token t) override {
       of.held_[t.value].insert(h);
       token = t.value;
@@ -265,7 +268,7 @@
   unsigned count_;
   std::uint64_t seed_;
   setup::OperatorFile own_;
-  RigVirtual stage_;
+  VirtualHarness stage_;
   std::map<unsigned, std::unique_ptr<One>> holders_;
   std::map<std::uint64_t, std::set<unsigned>> held_;
   int pids_ = 0;
@@ -288,7 +291,7 @@
 
   LeaseRun play() {
     std::uint64_t asked = 0;
-    stage_.rig().on_sent = [&asked](RigPlace from, std::size_t) { asked += from.node >= kVoters; };
+    stage_.rig().on_sent = [&asked](NodeEndpoint from, std::size_t) { asked += from.node >= kVoters; };
     for (unsigned v = 0; v < kVoters; ++v) stage_.start_voter(v);
     run(3s);
     for (unsigned h = 0; h < stage_.holders(); ++h) stage_.hold(h);
@@ -320,13 +323,13 @@
   // Of all ways between the holder and the voters.
   void holders_ways(unsigned h, bool to, bool from, DatagramFaults post) {
     for (unsigned v = 0; v < kVoters; ++v) {
-      if (to) stage_.rig().way(v, kVoters + h) = post;
-      if (from) stage_.rig().way(kVoters + h, v) = post;
+      if (to) stage_.rig().link(v, kVoters + h) = post;
+      if (from) stage_.rig().link(kVoters + h, v) = post;
     }
   }
   void all_ways(DatagramFaults post) {
     for (unsigned a = 0; a < kVoters + stage_.holders(); ++a)
-      for (unsigned b = 0; b < kVoters + stage_.holders(); ++b) stage_.rig().way(a, b) = post;
+      for (unsigned b = 0; b < kVoters + stage_.holders(); ++b) stage_.rig().link(a, b) = post;
   }
 
   void trouble(const std::string& kind) {
@@ -382,7 +385,7 @@
       for (int i = 0; i < 8; ++i) {
         for (unsigned a = 0; a < kVoters + stage_.holders(); ++a)
           for (unsigned b = 0; b < kVoters + stage_.holders(); ++b)
-            stage_.rig().way(a, b) = side(a, i % 2 == 0) == side(b, i % 2 == 0) ? DatagramFaults() : cut;
+            stage_.rig().link(a, b) = side(a, i % 2 == 0) == side(b, i % 2 == 0) ? DatagramFaults() : cut;
         run(1s);
       }
       all_ways(DatagramFaults());
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -12,7 +12,7 @@
 #include <thread>
 
 #include "changes/replicator.h"
-#include "lab/fleet/change_rig.h"
+#include "lab/fleet/change_experiment.h"
 #include "node/change_distributor.h"
 #include "setup/config_change.h"
 
@@ -231,7 +231,7 @@
 }
 
 TEST(SimulatedChanges, KeepEveryRule) {
-  const lab::ChangePlan plan;
+  const lab::ChangeExperimentPlan plan;
   std::mutex mutex;
   std::atomic<std::uint64_t> next{1};
   std::vector<std::thread> threads;
@@ -240,10 +240,10 @@
       for (std::uint64_t seed; (seed = next++) <= FLINTWEIR_LAB_SEEDS * 10;) {
         const auto out = run_changes_virtual(plan, seed);
         const std::lock_guard lock(mutex);
-        for (const auto& b : out.broken)
-          ADD_FAILURE() << seed << ' ' << out.trouble << ' ' << b.rule << ": " << b.what;
-        EXPECT_GT(out.looks, 100u);
-        EXPECT_GE(out.known.size(), 2u) << seed << ' ' << out.trouble;
+        for (const auto& b : out.violations)
+          ADD_FAILURE() << seed << ' ' << out.fault << ' ' << b.rule << ": " << b.description;
+        EXPECT_GT(out.observations, 100u);
+        EXPECT_GE(out.propagation_ms.size(), 2u) << seed << ' ' << out.fault;
       }
     });
   for (std::thread& t : threads) t.join();
@@ -251,9 +251,9 @@
 
 // Twelve fixed seeds, each with nine processes of the real program and one kind of fault between them.
 TEST(ChangeProcesses, KeepEveryRule) {
-  lab::ChangePlan plan;
-  plan.joins = 3s;
-  plan.lasts = 3s;
+  lab::ChangeExperimentPlan plan;
+  plan.join_time = 3s;
+  plan.fault_duration = 3s;
   constexpr const char* troubles[] = {"calm",  "crash",       "restart",     "restart-all",
                                       "cut",   "cut-one-way", "loss",        "mangled",
                                       "pause", "refused",     "two-at-once", "older-again"};
@@ -266,11 +266,13 @@
         const auto folder = std::filesystem::temp_directory_path() /
                             ("flintweir-changes-" + std::to_string(getpid()) + "-" + std::to_string(n));
         std::filesystem::create_directories(folder);
-        const auto out = run_changes_real(plan, 100 + n, troubles[n], {FLINTWEIR_PROGRAM}, folder.string());
+        const auto out =
+            run_changes_loopback(plan, 100 + n, troubles[n], {FLINTWEIR_PROGRAM}, folder.string());
         std::filesystem::remove_all(folder);
         const std::lock_guard lock(mutex);
-        for (const auto& b : out.broken) ADD_FAILURE() << troubles[n] << ' ' << b.rule << ": " << b.what;
-        EXPECT_GT(out.looks, 100u);
+        for (const auto& b : out.violations)
+          ADD_FAILURE() << troubles[n] << ' ' << b.rule << ": " << b.description;
+        EXPECT_GT(out.observations, 100u);
       }
     });
   for (std::thread& t : threads) t.join();
--- a/tests/members_test.cpp
+++ b/tests/members_test.cpp
@@ -11,7 +11,7 @@
 #include <random>
 #include <thread>
 
-#include "lab/fleet/rig.h"
+#include "lab/fleet/membership_experiment.h"
 #include "members/datagram.h"
 #include "setup/operator.h"
 
@@ -163,38 +163,39 @@
 
 std::string experiment() { return std::string(FLINTWEIR_EXPERIMENTS) + "/members.toml"; }
 
-std::string describe(const lab::RigOutcome& outcome) {
+std::string describe(const lab::MembershipResult& outcome) {
   std::string text;
-  for (const std::string& t : outcome.troubles) text += t + ' ';
-  for (const lab::RigBroken& b : outcome.broken)
-    text +=
-        std::string("\n") + name_of(b.rule) + " at " + std::to_string(b.at.count() / 1000) + " ms: " + b.what;
+  for (const std::string& t : outcome.faults) text += t + ' ';
+  for (const lab::MembershipViolation& b : outcome.violations)
+    text += std::string("\n") + name_of(b.rule) + " at " + std::to_string(b.at.count() / 1000) +
+            " ms: " + b.description;
   return text;
 }
 
 // Every fault of the experiment, alone and in pairs, in virtual time.
 TEST(View, ObeysItsRulesForEverySeed) {
-  const lab::RigPlan nine_nodes = lab::RigPlan::of_file(experiment()),
-                     thirty_nodes = lab::RigPlan::of_file(experiment(), "thirty");
+  const lab::MembershipPlan nine_nodes = lab::MembershipPlan::from_file(experiment()),
+                            thirty_nodes = lab::MembershipPlan::from_file(experiment(), "thirty");
   for (std::uint64_t seed = 1; seed <= FLINTWEIR_LAB_SEEDS; ++seed) {
-    const lab::RigOutcome outcome = lab::run_rig_virtual(seed % 10 ? nine_nodes : thirty_nodes, seed);
-    EXPECT_TRUE(outcome.broken.empty()) << "seed " << seed << ": " << describe(outcome);
-    EXPECT_TRUE(outcome.joined);
-    EXPECT_TRUE(outcome.settled);
+    const lab::MembershipResult outcome =
+        lab::run_membership_virtual(seed % 10 ? nine_nodes : thirty_nodes, seed);
+    EXPECT_TRUE(outcome.violations.empty()) << "seed " << seed << ": " << describe(outcome);
+    EXPECT_TRUE(outcome.converged_ms);
+    EXPECT_TRUE(outcome.reconverged_ms);
   }
 }
 
 TEST(View, IsDeterministicForASeed) {
-  const lab::RigPlan plan = lab::RigPlan::of_file(experiment());
+  const lab::MembershipPlan plan = lab::MembershipPlan::from_file(experiment());
   std::string logs[2];
-  for (std::string& log : logs) lab::run_rig_virtual(plan, 5, "", &log);
+  for (std::string& log : logs) lab::run_membership_virtual(plan, 5, "", &log);
   EXPECT_FALSE(logs[0].empty());
   EXPECT_EQ(logs[0], logs[1]);
 }
 
 // Nine processes of the program with one kind of fault at a time; eight fleets run in parallel.
 TEST(Processes, AgreeOnTheRunningMembers) {
-  const lab::RigPlan plan = lab::RigPlan::of_file(experiment(), "processes");
+  const lab::MembershipPlan plan = lab::MembershipPlan::from_file(experiment(), "processes");
   const std::vector<std::string> kinds = {
       "crash-half", "crash-back", "moved",         "leave", "pause",   "halves",  "cut-flaps", "cut-moved",
       "deaf",       "loss-20",    "fails-returns", "slow",  "mangled", "rubbish", "reload",    "same-name"};
@@ -206,12 +207,12 @@
     for (std::size_t i; (i = next++) < kinds.size();) {
       const auto case_folder = folder / kinds[i];
       std::filesystem::create_directories(case_folder);
-      const lab::RigOutcome outcome =
-          lab::run_rig_real(plan, 3 + i, kinds[i], {FLINTWEIR_PROGRAM}, case_folder.string());
+      const lab::MembershipResult outcome =
+          lab::run_membership_loopback(plan, 3 + i, kinds[i], {FLINTWEIR_PROGRAM}, case_folder.string());
       const std::lock_guard lock(mutex);
-      EXPECT_TRUE(outcome.broken.empty()) << kinds[i] << ": " << describe(outcome);
-      EXPECT_TRUE(outcome.joined) << kinds[i];
-      EXPECT_GT(outcome.looks, 100u) << kinds[i];
+      EXPECT_TRUE(outcome.violations.empty()) << kinds[i] << ": " << describe(outcome);
+      EXPECT_TRUE(outcome.converged_ms) << kinds[i];
+      EXPECT_GT(outcome.observations, 100u) << kinds[i];
     }
   };
   std::vector<std::thread> threads;
