--- a/src/lab/fleet/membership_plan.cpp
+++ b/src/lab/fleet/membership_plan.cpp
@@ -38,62 +38,62 @@
   try {
     return toml::parse_file(path)["kind"].value_or(std::string()) == "fleet";
   } catch (const toml::parse_error&) {
-    return false;  // whoever reads it complains
+    return false;  // the syntax error is reported when the file is loaded
   }
 }
 
 namespace {
 
-// What a variant may set as well.
-void scale(TableReader& f, MembershipPlan& plan) {
+// Reads the keys that both the experiment and its variants may set.
+void read_scale(TableReader& f, MembershipPlan& plan) {
   plan.nodes = f.count("nodes", plan.nodes, 1, 2000);
-  plan.at_once = f.count("at_once", plan.at_once, 0, 16);
-  plan.starts = f.duration("starts", plan.starts, 100ms);
-  plan.quiet = f.duration("quiet", plan.quiet);
-  plan.settles = f.duration("settles", plan.settles, 1s);
+  plan.fault_count = f.count("at_once", plan.fault_count, 0, 16);
+  plan.join_time = f.duration("starts", plan.join_time, 100ms);
+  plan.fault_window = f.duration("quiet", plan.fault_window);
+  plan.convergence_limit = f.duration("settles", plan.convergence_limit, 1s);
 }
 
-MembershipPlan read(const toml::table& whole, const std::string& path, const std::string& variant) {
+MembershipPlan read_plan(const toml::table& root, const std::string& path, const std::string& variant) {
   MembershipPlan out;
-  TableReader top(whole, "", path);
+  TableReader top(root, "", path);
   top.string("kind", "fleet", {"fleet"});
   out.name = top.string("name", "");
   if (out.name.empty()) top.fail("name", "is missing");
   out.about = top.string("about", "");
-  out.seeds = top.count("seeds", 2, 1, 16);
-  out.interval = top.duration("interval", 300ms, 50ms);
-  out.forgets = top.duration("forgets", 60min, 1min);
-  scale(top, out);
-  MembershipPlan changed = out;
+  out.seed_nodes = top.count("seeds", 2, 1, 16);
+  out.probe_interval = top.duration("interval", 300ms, 50ms);
+  out.forget_after = top.duration("forgets", 60min, 1min);
+  read_scale(top, out);
+  MembershipPlan selected = out;
   bool found = variant.empty();
   for (TableReader& v : top.tables("variant")) {
     const std::string name = v.string("name", "");
     out.variants.push_back(name);
-    const bool chosen = name == variant;
-    found = found || chosen;
-    MembershipPlan with = out;
-    scale(v, with);
+    const bool matches = name == variant;
+    found = found || matches;
+    MembershipPlan varied = out;
+    read_scale(v, varied);
     v.reject_unknown_keys();
-    if (chosen) changed = with;
+    if (matches) selected = varied;
   }
   if (!found) throw InputError(path + ":1: variant: there is no variant '" + variant + "'");
-  changed.variants = out.variants;
-  out = changed;
+  selected.variants = out.variants;
+  out = selected;
   std::vector<std::string> kinds;
   for (const FleetFaultKind& k : fleet_fault_kinds()) kinds.emplace_back(k.name);
   for (TableReader& f : top.tables("trouble")) {
-    FleetFault t;
-    t.kind = f.string("kind", "", kinds);
-    if (t.kind.empty()) f.fail("kind", "is missing");
-    t.name = f.string("name", t.kind);
-    t.share = f.number("share", 0, 0, 1);
-    t.size = f.number("size", 0, 0, 100000);
-    t.lasts = f.duration("lasts", 3s);
-    t.longer = f.duration("longer", 0us);
-    t.parts = f.count("parts", 2, 2, 8);
-    t.one_way = f.boolean("one_way", false);
+    FleetFault fault;
+    fault.kind = f.string("kind", "", kinds);
+    if (fault.kind.empty()) f.fail("kind", "is missing");
+    fault.name = f.string("name", fault.kind);
+    fault.share = f.number("share", 0, 0, 1);
+    fault.magnitude = f.number("size", 0, 0, 100000);
+    fault.duration = f.duration("lasts", 3s);
+    fault.period_or_delay = f.duration("longer", 0us);
+    fault.partitions = f.count("parts", 2, 2, 8);
+    fault.one_way = f.boolean("one_way", false);
     f.reject_unknown_keys();
-    out.faults.push_back(t);
+    out.faults.push_back(fault);
   }
   top.reject_unknown_keys();
   return out;
@@ -103,7 +103,7 @@
 
 MembershipPlan MembershipPlan::from_file(const std::string& path, const std::string& variant) {
   try {
-    return read(toml::parse_file(path), path, variant);
+    return read_plan(toml::parse_file(path), path, variant);
   } catch (const toml::parse_error& e) {
     throw InputError(path + ":" + std::to_string(std::max<unsigned>(e.source().begin.line, 1)) +
                      ": file: " + std::string(e.description()));
