--- a/src/lab/fleet/membership_checker.h
+++ b/src/lab/fleet/membership_checker.h
@@ -1,5 +1,6 @@
-// Holds the fleet's own view against its rules, from outside: by what each process answers to whoever asks
-// for its view, by what was done to whom, and by what each sent. No I/O and no clock.
+// Checks the rules of the membership protocol from outside the nodes: by the views that they return, the
+// processes that were started, ended or paused, the bytes that each sent and the lines that each logged. No
+// I/O and no clock.
 #pragma once
 
 #include <functional>
@@ -13,13 +14,13 @@
 namespace flintweir::lab {
 
 enum class MembershipRule {
-  settled,     // so long after the last trouble all that run hold one view, of exactly those
-  falsely,     // a node that ran and was reached is called failed, or had to start anew
-  ghost,       // a killed node comes back alive by an old word, or stands as alive for too long
-  back,        // a start, a word or a standing goes back
-  bound,       // a node sends more than is stated
-  unanswered,  // a running node does not answer for its view or does not serve
-  log,         // what a node logged does not lead to the view that it gives
+  convergence,  // within a limit after the last fault, all running nodes have one view of exactly these nodes
+  no_false_failure,  // no node that runs and is reachable is reported failed or forced to a new generation
+  no_ghost,  // an ended process does not come back to life by an old update, or stay alive in a view for long
+  monotonicity,     // no generation, incarnation or state of a member goes backwards
+  send_limit,       // no node sends more than the stated number of bytes per second
+  responsiveness,   // a running node answers view queries and serves clients
+  log_consistency,  // the membership changes that a node logs lead to the view that it returns
 };
 const char* name_of(MembershipRule rule);
 
@@ -31,67 +32,75 @@
 
 class MembershipChecker {
  public:
-  MembershipChecker(Micros interval, std::function<void(const MembershipViolation&)> broken);
+  MembershipChecker(Micros probe_interval, std::function<void(const MembershipViolation&)> on_violation);
 
-  // One process of that name more, and its end by itself or by a kill.
-  void up(const std::string& name, Micros now);
-  void down(const std::string& name, Micros now);
-  // From now on others may call it failed; it may call others so.
-  void may_be_failed(const std::string& name) { accused_.insert(name); }
-  void may_accuse(const std::string& name) { accuses_.insert(name); }
-  void paused(const std::string& name, bool on, Micros now);
-  // A process answered for its view.
-  void seen(const std::string& name, const members::ViewQuery& view, Micros now);
-  void sent(const std::string& name, std::size_t bytes, Micros now);
-  void unanswered(const std::string& name, const std::string& what, Micros now);
-  // One line of a running process's log, from its start on, before settled().
-  void logged(const std::string& name, std::string_view line);
-  // The last views must be one by now, and what was logged must lead there.
-  void settled(Micros now);
+  // A process of that name has started; it has exited or was killed.
+  void process_started(const std::string& name, Micros now);
+  void process_ended(const std::string& name, Micros now);
+  // From now on, others may report this node failed; this node may report others failed.
+  void allow_reported_failed(const std::string& name) { may_be_reported_.insert(name); }
+  void allow_reporting_failures(const std::string& name) { may_report_.insert(name); }
+  void set_paused(const std::string& name, bool paused, Micros now);
+  // A process answered a view query.
+  void receive_view(const std::string& name, const members::ViewQuery& view, Micros now);
+  void datagram_sent(const std::string& name, std::size_t bytes, Micros now);
+  void report_unanswered(const std::string& name, const std::string& description, Micros now);
+  // Takes the lines of a running process's log in order, beginning at its start. They have to be complete
+  // before check_converged() is called.
+  void receive_log_line(const std::string& name, std::string_view line);
+  // Checks that the last views agree and are consistent with the logs.
+  void check_converged(Micros now);
 
-  // Whether all running ones were last seen with one view of exactly those.
-  bool agree() const;
-  // Whether all running ones were last seen holding `name` as failed or not at all.
-  bool all_know_gone(const std::string& name) const;
-  // Whether all running ones were last seen listing `name`.
-  bool all_know(const std::string& name) const;
-  // Processes called failed by any while they ran, whatever the reason.
-  std::size_t called_failed() const { return called_failed_.size(); }
-  std::uint64_t looks() const { return looks_; }
-  std::size_t running() const { return running_.size(); }
+  // Whether the last views of all running nodes are the same and list exactly these nodes.
+  bool converged() const;
+  // Whether no last view of a running node that is not paused lists `name` in a live state.
+  bool all_consider_gone(const std::string& name) const;
+  // Whether the last views of all running nodes that are not paused list `name`.
+  bool all_list(const std::string& name) const;
+  // The number of processes that any node reported failed while they ran, whether that was allowed or not.
+  std::size_t running_reported_failed() const { return running_reported_failed_.size(); }
+  // The number of views and final checks.
+  std::uint64_t observations() const { return observations_; }
+  std::size_t running_count() const { return running_.size(); }
   std::uint64_t sent_bytes() const { return sent_bytes_; }
 
  private:
-  struct Last {
-    members::Generation start;
-    std::uint32_t word = 0;
-    members::Generation dead;  // the latest start that was called failed
+  // What a node last returned about a member.
+  struct LastRow {
+    members::Generation generation;
+    std::uint32_t incarnation = 0;
+    members::Generation failed_generation;  // the latest one that was reported failed
   };
   struct Running {
     std::uint64_t digest = 0;
-    members::Generation start;
-    std::map<std::string, Last> holds;
-    std::set<std::string> listed;  // in the last answer, and not failed
-    Micros from{0};                // it runs, or goes on after a pause
-    std::uint64_t exact_at = 0;    // the change of whoever runs at which its last answer listed exactly those
-    std::set<std::string> logs_alive;  // whom its log says to be there
-    bool asked = false, paused = false;
-    Micros second{0};
-    std::size_t bytes = 0;
+    members::Generation generation;
+    std::map<std::string, LastRow> rows;
+    std::set<std::string> listed;  // members in a live state, in the last view
+    Micros since{0};               // the start of the process or the end of its last pause
+    std::uint64_t exact_at = 0;    // the value of running_changes_ at which its last view was exact, or zero
+    std::set<std::string> logged_live;  // members in a live state, by its log
+    bool answered = false, paused = false;
+    Micros second_start{0};  // of the second in which `second_bytes` are counted
+    std::size_t second_bytes = 0;
   };
-  std::string why_not_settled() const;
-  void broken(MembershipRule rule, Micros now, std::string what) { broken_({rule, now, std::move(what)}); }
+  // Empty if the last views agree on exactly the running nodes.
+  std::string convergence_failure() const;
+  void report(MembershipRule rule, Micros now, std::string description) {
+    on_violation_({rule, now, std::move(description)});
+  }
 
-  Micros interval_;
-  std::function<void(const MembershipViolation&)> broken_;
+  Micros probe_interval_;
+  std::function<void(const MembershipViolation&)> on_violation_;
   std::map<std::string, Running> running_;
-  std::map<std::string, Micros> down_;                                   // the last end of each name
-  std::map<std::string, members::Generation> first_start_, last_start_;  // by what they say of themselves
-  std::set<std::string> accused_, accuses_;
-  std::set<std::pair<std::string, members::Generation>> called_failed_;
-  bool logs_ = false;          // anybody; the plain ways of knowing each other log nothing
-  std::uint64_t changes_ = 1;  // of whoever runs
-  std::uint64_t looks_ = 0, sent_bytes_ = 0;
+  std::map<std::string, Micros> last_end_;  // by name of the process
+  // The generations that a node returned for itself: the first one of its running process, and the latest
+  // one.
+  std::map<std::string, members::Generation> first_generation_, last_generation_;
+  std::set<std::string> may_be_reported_, may_report_;
+  std::set<std::pair<std::string, members::Generation>> running_reported_failed_;
+  bool has_logs_ = false;              // false for the baseline protocols, which log nothing
+  std::uint64_t running_changes_ = 1;  // how often the set of running processes changed
+  std::uint64_t observations_ = 0, sent_bytes_ = 0;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/fleet/membership_experiment.h
+++ b/src/lab/fleet/membership_experiment.h
@@ -1,5 +1,5 @@
-// One run of an experiment on the fleet's own view: troubles by the seed, everybody asked for his view all
-// the while, and the checker's verdict.
+// Runs one membership experiment: starts a fleet, injects faults drawn by the seed, polls the view of each
+// node throughout, and checks the views against the rules of MembershipChecker.
 #pragma once
 
 #include <optional>
@@ -12,27 +12,31 @@
 namespace flintweir::lab {
 
 struct MembershipResult {
-  std::vector<MembershipViolation> violations;  // times from the start
-  std::vector<std::string> faults;
-  // Milliseconds; nothing where it did not come about.
-  std::optional<double> converged_ms;       // from the first start until all hold one view
-  std::vector<double> crash_detection_ms;   // from a crash until no running node lists who crashed
-  std::vector<double> join_detection_ms;    // from a start until all running ones list who started
-  std::size_t running_reported_failed = 0;  // processes, by any, while they ran
-  std::optional<double> reconverged_ms;     // from the last trouble's end until all hold one view for good
-  double idle_bytes_per_second = 0;  // sent by a node and second, from when it joined to the first trouble
-  std::uint64_t observations = 0;
-  double duration_s = 0;  // seconds
+  std::vector<MembershipViolation> violations;  // with times from the start of the run
+  std::vector<std::string> faults;              // names of the faults drawn
+  // From the first start until all nodes hold the same view. Empty if that did not happen.
+  std::optional<double> converged_ms;
+  std::vector<double> crash_detection_ms;   // from a crash until no running node lists the crashed node
+  std::vector<double> join_detection_ms;    // from a start until all running nodes list the started node
+  std::size_t running_reported_failed = 0;  // processes that any node reported failed while they ran
+  // From the end of the last fault until all nodes hold the same view to the end. Empty if that did not
+  // happen.
+  std::optional<double> reconverged_ms;
+  double idle_bytes_per_second =
+      0;                           // sent by each node, after the fleet has formed and before the first fault
+  std::uint64_t observations = 0;  // of MembershipChecker
+  double duration_s = 0;           // of the run
 };
 
-// `only`: the troubles drawn are of that kind.
+// `only`: draws one fault, of this kind or name. Throws InputError if the plan has none.
 MembershipResult run_membership_experiment(const MembershipPlan& plan, FleetHarness& harness,
                                            std::uint64_t seed, const std::string& only = "");
 
+// `log`: gets what the nodes log, unless null. `baseline`: the nodes run this protocol instead of their own.
 MembershipResult run_membership_virtual(const MembershipPlan& plan, std::uint64_t seed,
-                                        const std::string& only = "", std::string* logged = nullptr,
-                                        std::optional<BaselineProtocol> plain = {});
-// Without the troubles that need virtual time.
+                                        const std::string& only = "", std::string* log = nullptr,
+                                        std::optional<BaselineProtocol> baseline = {});
+// Runs `program` on loopback addresses, with logs in `folder`. Never draws the faults that need virtual time.
 MembershipResult run_membership_loopback(const MembershipPlan& plan, std::uint64_t seed,
                                          const std::string& only, const std::vector<std::string>& program,
                                          const std::string& folder);
