--- a/src/lab/fleet/baseline_membership.cpp
+++ b/src/lab/fleet/baseline_membership.cpp
@@ -11,195 +11,204 @@
 
 namespace {
 
-constexpr int kSilence = 6;  // intervals from the last heartbeat, or from a suspicion, to the verdict
-constexpr std::size_t kHelpers = 3;
+// Intervals from the last heartbeat, or from a suspicion, after which a member is declared failed.
+constexpr int kFailureIntervals = 6;
+constexpr std::size_t kIndirectProbes = 3;
 
-bool there(MemberState s) { return s == MemberState::alive || s == MemberState::suspected; }
+bool is_live(MemberState s) { return s == MemberState::alive || s == MemberState::suspected; }
 
 }  // namespace
 
-BaselineMembership::BaselineMembership(net::Network& network, net::TimerQueue& timers, BaselineProtocol way,
-                                       const Address& at, std::string name, std::vector<Address> seeds,
-                                       Micros interval, std::uint64_t seed)
+BaselineMembership::BaselineMembership(net::Network& network, net::TimerQueue& timers,
+                                       BaselineProtocol protocol, const Address& address, std::string name,
+                                       std::vector<Address> seeds, Micros interval, std::uint64_t seed)
     : network_(network),
       timers_(timers),
-      way_(way),
-      at_(at),
+      protocol_(protocol),
+      address_(address),
       name_(std::move(name)),
       seeds_(std::move(seeds)),
       interval_(interval),
-      chance_(static_cast<std::knuth_b::result_type>(seed | 1)) {}
+      random_(static_cast<std::knuth_b::result_type>(seed | 1)) {}
 
-void BaselineMembership::begin() {
-  network_.open_datagrams(at_);
+void BaselineMembership::start() {
+  network_.open_datagrams(address_);
   network_.wait_datagram(*this);
   const Micros now = timers_.now();
   members_[name_] = {
-      Generation{static_cast<std::uint64_t>(now.count())}, 0, MemberState::alive, at_, now, now, 0};
-  timers_.schedule(Micros{static_cast<std::int64_t>(below(static_cast<std::size_t>(interval_.count())))},
-                   *this, static_cast<std::uint64_t>(Due::beat));
+      Generation{static_cast<std::uint64_t>(now.count())}, 0, MemberState::alive, address_, now, now, 0};
+  timers_.schedule(
+      Micros{static_cast<std::int64_t>(random_below(static_cast<std::size_t>(interval_.count())))}, *this,
+      static_cast<std::uint64_t>(Timer::period));
 }
 
 void BaselineMembership::datagram_pending() {
   char bytes[kMaxDatagramBytes + 1];
   for (;;) {
-    const net::ReceiveResult got = network_.receive(bytes, sizeof bytes);
-    if (got.status == net::IoStatus::would_block) break;
-    came_from_ = got.from;
-    if (got.status == net::IoStatus::done) decode({bytes, got.bytes}, "lab", *this);
+    const net::ReceiveResult received = network_.receive(bytes, sizeof bytes);
+    if (received.status == net::IoStatus::would_block) break;
+    last_sender_ = received.from;
+    if (received.status == net::IoStatus::done) decode({bytes, received.bytes}, "lab", *this);
   }
   network_.wait_datagram(*this);
 }
 
 void BaselineMembership::timer_expired(std::uint64_t token) {
-  const auto due = static_cast<Due>(token & 3);
-  if (due == Due::beat) {
+  const auto timer = static_cast<Timer>(token & 3);
+  if (timer == Timer::period) {
     for (const Address& seed : seeds_) {
       const bool known = std::any_of(members_.begin(), members_.end(), [&](const auto& m) {
-        return m.second.address == seed && there(m.second.standing);
+        return m.second.address == seed && is_live(m.second.state);
       });
-      if (!known) send(MessageKind::ping, seed, Nonce{++nonces_});
+      if (!known) send(MessageKind::ping, seed, Nonce{++last_nonce_});
     }
-    way_ == BaselineProtocol::heartbeats ? beat_to_all() : probe();
-    return timers_.schedule(interval_, *this, static_cast<std::uint64_t>(Due::beat));
+    protocol_ == BaselineProtocol::heartbeats ? send_heartbeats() : probe();
+    return timers_.schedule(interval_, *this, static_cast<std::uint64_t>(Timer::period));
   }
-  const auto it = members_.find(probed_);
-  if (answered_ || it == members_.end() || token >> 2 != probe_nonce_) return;
-  if (due == Due::over) {
-    if (it->second.standing == MemberState::alive) set(it->second, MemberState::suspected);
+  const auto it = members_.find(probe_target_);
+  if (probe_acked_ || it == members_.end() || token >> 2 != probe_nonce_) return;
+  if (timer == Timer::probe_timeout) {
+    if (it->second.state == MemberState::alive) set_state(it->second, MemberState::suspected);
     return;
   }
-  for (std::size_t i = 0; i < kHelpers && !order_.empty(); ++i) {
-    const auto helper = members_.find(order_[below(order_.size())]);
-    if (helper == members_.end() || helper->first == probed_ || !there(helper->second.standing)) continue;
-    DatagramWriter writer(MessageKind::ping_request, "lab", from(), Nonce{probe_nonce_});
-    writer.ping_request(probed_, it->second.address);
+  for (std::size_t i = 0; i < kIndirectProbes && !probe_order_.empty(); ++i) {
+    const auto helper = members_.find(probe_order_[random_below(probe_order_.size())]);
+    if (helper == members_.end() || helper->first == probe_target_ || !is_live(helper->second.state))
+      continue;
+    DatagramWriter writer(MessageKind::ping_request, "lab", self(), Nonce{probe_nonce_});
+    writer.ping_request(probe_target_, it->second.address);
     network_.send_datagram(helper->second.address, writer.finish());
   }
 }
 
-void BaselineMembership::beat_to_all() {
+void BaselineMembership::send_heartbeats() {
   for (auto& [name, m] : members_) {
     if (name == name_) continue;
-    send(MessageKind::ping, m.address, Nonce{++nonces_});
-    if (there(m.standing) && timers_.now() - m.heard > interval_ * kSilence) set(m, MemberState::failed);
+    send(MessageKind::ping, m.address, Nonce{++last_nonce_});
+    if (is_live(m.state) && timers_.now() - m.last_heard > interval_ * kFailureIntervals)
+      set_state(m, MemberState::failed);
   }
 }
 
 void BaselineMembership::probe() {
   for (auto& [name, m] : members_)
-    if (m.standing == MemberState::suspected && timers_.now() - m.since > interval_ * kSilence)
-      set(m, MemberState::failed);
-  if (order_.empty()) {
+    if (m.state == MemberState::suspected && timers_.now() - m.state_since > interval_ * kFailureIntervals)
+      set_state(m, MemberState::failed);
+  if (probe_order_.empty()) {
     for (const auto& [name, m] : members_)
-      if (name != name_ && there(m.standing)) order_.push_back(name);
-    for (std::size_t i = order_.size(); i > 1; --i) std::swap(order_[i - 1], order_[below(i)]);
+      if (name != name_ && is_live(m.state)) probe_order_.push_back(name);
+    for (std::size_t i = probe_order_.size(); i > 1; --i)
+      std::swap(probe_order_[i - 1], probe_order_[random_below(i)]);
   }
-  if (order_.empty()) return;
-  probed_ = order_.back();
-  order_.pop_back();
-  const auto it = members_.find(probed_);
-  if (it == members_.end() || !there(it->second.standing)) return;
-  answered_ = false;
-  probe_nonce_ = ++nonces_;
+  if (probe_order_.empty()) return;
+  probe_target_ = probe_order_.back();
+  probe_order_.pop_back();
+  const auto it = members_.find(probe_target_);
+  if (it == members_.end() || !is_live(it->second.state)) return;
+  probe_acked_ = false;
+  probe_nonce_ = ++last_nonce_;
   send(MessageKind::ping, it->second.address, Nonce{probe_nonce_});
-  timers_.schedule(interval_ / 3, *this, probe_nonce_ << 2 | static_cast<std::uint64_t>(Due::direct));
-  timers_.schedule(interval_ * 9 / 10, *this, probe_nonce_ << 2 | static_cast<std::uint64_t>(Due::over));
+  timers_.schedule(interval_ / 3, *this,
+                   probe_nonce_ << 2 | static_cast<std::uint64_t>(Timer::indirect_probe));
+  timers_.schedule(interval_ * 9 / 10, *this,
+                   probe_nonce_ << 2 | static_cast<std::uint64_t>(Timer::probe_timeout));
 }
 
-void BaselineMembership::set(Member& m, MemberState standing) {
-  m.standing = standing;
-  m.since = timers_.now();
-  m.sends = 3 * static_cast<int>(std::ceil(std::log2(static_cast<double>(members_.size()) + 1)));
+void BaselineMembership::set_state(Member& m, MemberState state) {
+  m.state = state;
+  m.state_since = timers_.now();
+  m.remaining_sends = 3 * static_cast<int>(std::ceil(std::log2(static_cast<double>(members_.size()) + 1)));
 }
 
-void BaselineMembership::on_update(const Sender& from, const MemberUpdate& w) {
-  if (w.name == name_) {
+void BaselineMembership::on_update(const Sender& from, const MemberUpdate& update) {
+  if (update.name == name_) {
     Member& me = members_.find(name_)->second;
-    if (w.state == MemberState::alive || w.generation < me.start) return;
-    if (w.state == MemberState::failed) me.start = Generation{w.generation.value + 1};
-    me.word = w.incarnation + 1;
-    return set(me, MemberState::alive);
+    if (update.state == MemberState::alive || update.generation < me.generation) return;
+    if (update.state == MemberState::failed) me.generation = Generation{update.generation.value + 1};
+    me.incarnation = update.incarnation + 1;
+    return set_state(me, MemberState::alive);
   }
-  const bool own = w.name == from.name;
-  const auto [it, fresh] = members_.try_emplace(std::string(w.name));
+  const bool from_itself = update.name == from.name;
+  const auto [it, is_new] = members_.try_emplace(std::string(update.name));
   Member& m = it->second;
-  if (way_ == BaselineProtocol::heartbeats) {
-    // Who is told of by another is heard from itself soon, or not at all.
-    if (!fresh && !own) return;
-    if (!fresh && w.generation < m.start) return;
-    m.heard = timers_.now();
-    const bool back = fresh || !there(m.standing);
-    m.start = w.generation, m.address = w.address;
-    if (back) set(m, MemberState::alive);
+  if (protocol_ == BaselineProtocol::heartbeats) {
+    // A heartbeat counts for its sender only. A known member that another node tells of sends its own
+    // heartbeats, or has failed.
+    if (!is_new && !from_itself) return;
+    if (!is_new && update.generation < m.generation) return;
+    m.last_heard = timers_.now();
+    const bool revived = is_new || !is_live(m.state);
+    m.generation = update.generation, m.address = update.address;
+    if (revived) set_state(m, MemberState::alive);
     return;
   }
-  const auto rank = [](MemberState s) {
+  const auto severity = [](MemberState s) {
     return s == MemberState::failed ? 2 : s == MemberState::suspected ? 1 : 0;
   };
-  const bool later = fresh || w.generation > m.start ||
-                     (w.generation == m.start && m.standing != MemberState::failed &&
-                      (w.state == MemberState::failed || w.incarnation > m.word ||
-                       (w.incarnation == m.word && rank(w.state) > rank(m.standing))));
-  if (!later) return;
-  m.start = w.generation, m.word = w.incarnation, m.address = w.address;
-  set(m, w.state == MemberState::joining ? MemberState::alive : w.state);
+  const bool is_newer =
+      is_new || update.generation > m.generation ||
+      (update.generation == m.generation && m.state != MemberState::failed &&
+       (update.state == MemberState::failed || update.incarnation > m.incarnation ||
+        (update.incarnation == m.incarnation && severity(update.state) > severity(m.state))));
+  if (!is_newer) return;
+  m.generation = update.generation, m.incarnation = update.incarnation, m.address = update.address;
+  set_state(m, update.state == MemberState::joining ? MemberState::alive : update.state);
 }
 
 void BaselineMembership::on_ping(const Sender& from, Nonce nonce) {
   const auto it = members_.find(from.name);
-  const bool fresh = it == members_.end() || timers_.now() - it->second.since < interval_ * 2;
-  if (way_ == BaselineProtocol::swim || fresh) send(MessageKind::ack, from.address, nonce, fresh);
+  const bool is_new = it == members_.end() || timers_.now() - it->second.state_since < interval_ * 2;
+  if (protocol_ == BaselineProtocol::swim || is_new) send(MessageKind::ack, from.address, nonce, is_new);
 }
 
 void BaselineMembership::on_ack(const Sender&, Nonce nonce) {
-  if (nonce.value == probe_nonce_) answered_ = true;
-  const auto it = helped_.find(nonce.value);
-  if (it == helped_.end()) return;
+  if (nonce.value == probe_nonce_) probe_acked_ = true;
+  const auto it = relayed_probes_.find(nonce.value);
+  if (it == relayed_probes_.end()) return;
   send(MessageKind::ack, it->second.second, it->second.first);
-  helped_.erase(it);
+  relayed_probes_.erase(it);
 }
 
 void BaselineMembership::on_ping_request(const Sender& from, Nonce nonce, std::string_view,
                                          const Address& at) {
-  while (helped_.size() > 64) helped_.erase(helped_.begin());
-  helped_[++nonces_] = {nonce, from.address};
-  send(MessageKind::ping, at, Nonce{nonces_});
+  while (relayed_probes_.size() > 64) relayed_probes_.erase(relayed_probes_.begin());
+  relayed_probes_[++last_nonce_] = {nonce, from.address};
+  send(MessageKind::ping, at, Nonce{last_nonce_});
 }
 
 MemberUpdate BaselineMembership::update_of(const std::string& name, const Member& m) const {
-  return {name, m.start, m.word, m.standing, m.address, "", "plain", "", name};
+  return {name, m.generation, m.incarnation, m.state, m.address, "", "plain", "", name};
 }
 
-Sender BaselineMembership::from() const {
+Sender BaselineMembership::self() const {
   const Member& me = members_.find(name_)->second;
-  Sender out{name_, me.start, at_};
+  Sender out{name_, me.generation, address_};
   for (const auto& [name, m] : members_)
-    if (there(m.standing)) out.digest ^= mix(m.start.value ^ std::hash<std::string>()(name));
+    if (is_live(m.state)) out.digest ^= mix(m.generation.value ^ std::hash<std::string>()(name));
   return out;
 }
 
-// With its own word and, by SWIM, those least spread so far; `all`: with all there are, in as many datagrams.
-void BaselineMembership::send(MessageKind kind, const Address& to, Nonce nonce, bool all) {
-  DatagramWriter writer(kind, "lab", from(), nonce);
+void BaselineMembership::send(MessageKind kind, const Address& to, Nonce nonce, bool send_all) {
+  DatagramWriter writer(kind, "lab", self(), nonce);
   writer.add(update_of(name_, members_.find(name_)->second));
-  if (all) {
+  if (send_all) {
     for (auto it = members_.begin(); it != members_.end();) {
-      DatagramWriter part(MessageKind::gossip, "lab", from(), nonce);
+      DatagramWriter part(MessageKind::gossip, "lab", self(), nonce);
       while (it != members_.end() &&
-             (!there(it->second.standing) || part.add(update_of(it->first, it->second))))
+             (!is_live(it->second.state) || part.add(update_of(it->first, it->second))))
         ++it;
       network_.send_datagram(to, part.finish());
     }
-  } else if (way_ == BaselineProtocol::swim) {
+  } else if (protocol_ == BaselineProtocol::swim) {
     std::vector<Members::value_type*> gossip;
     for (auto& m : members_)
-      if (m.second.sends > 0 && m.first != name_) gossip.push_back(&m);
-    std::sort(gossip.begin(), gossip.end(),
-              [](const auto* a, const auto* b) { return a->second.sends > b->second.sends; });
-    for (auto* n : gossip) {
-      if (!writer.add(update_of(n->first, n->second))) break;
-      --n->second.sends;
+      if (m.second.remaining_sends > 0 && m.first != name_) gossip.push_back(&m);
+    std::sort(gossip.begin(), gossip.end(), [](const auto* a, const auto* b) {
+      return a->second.remaining_sends > b->second.remaining_sends;
+    });
+    for (auto* entry : gossip) {
+      if (!writer.add(update_of(entry->first, entry->second))) break;
+      --entry->second.remaining_sends;
     }
   }
   network_.send_datagram(to, writer.finish());
@@ -208,13 +217,13 @@
 void BaselineMembership::on_view_query(Nonce nonce, std::string_view after) {
   const auto begin = after.empty() ? members_.begin() : members_.upper_bound(after);
   for (const bool last : {true, false}) {
-    DatagramWriter writer(MessageKind::view_page, "lab", from(), nonce);
+    DatagramWriter writer(MessageKind::view_page, "lab", self(), nonce);
     writer.view_page(last);
     auto it = begin;
     while (it != members_.end() &&
-           writer.add(update_of(it->first, it->second), timers_.now() - it->second.since))
+           writer.add(update_of(it->first, it->second), timers_.now() - it->second.state_since))
       ++it;
-    if (it == members_.end() || !last) return network_.send_datagram(came_from_, writer.finish());
+    if (it == members_.end() || !last) return network_.send_datagram(last_sender_, writer.finish());
   }
 }
 
--- a/src/lab/fleet/baseline_membership.h
+++ b/src/lab/fleet/baseline_membership.h
@@ -1,5 +1,6 @@
-// Two plain ways for nodes to know each other, to hold the fleet's own view against on the same seeds: a
-// heartbeat from each to all, and SWIM as first published (2002) without its later mends. Only in the lab.
+// Two simple membership protocols, as baselines for the node's own protocol on the same seeds: heartbeats
+// from each node to all others, and SWIM as first published in 2002, without its later improvements. Used in
+// the lab only.
 #pragma once
 
 #include <deque>
@@ -17,53 +18,58 @@
 
 class BaselineMembership final : members::DatagramHandler, net::DatagramEvents, net::TimerEvents {
  public:
-  BaselineMembership(net::Network& network, net::TimerQueue& timers, BaselineProtocol way, const Address& at,
-                     std::string name, std::vector<Address> seeds, Micros interval, std::uint64_t seed);
-  void begin();
+  BaselineMembership(net::Network& network, net::TimerQueue& timers, BaselineProtocol protocol,
+                     const Address& address, std::string name, std::vector<Address> seeds, Micros interval,
+                     std::uint64_t seed);
+  void start();
 
  private:
   struct Member {
-    members::Generation start;
-    std::uint32_t word = 0;
-    members::MemberState standing = members::MemberState::alive;
+    members::Generation generation;
+    std::uint32_t incarnation = 0;
+    members::MemberState state = members::MemberState::alive;
     Address address;
-    Micros heard{0}, since{0};
-    int sends = 0;
+    Micros last_heard{0}, state_since{0};
+    int remaining_sends = 0;  // of gossip about its latest state
   };
-  enum class Due : std::uint64_t { beat, direct, over };
+  // In the low two bits of a timer's token; the others hold the nonce of the probe.
+  enum class Timer : std::uint64_t { period, indirect_probe, probe_timeout };
   using Members = std::map<std::string, Member, std::less<>>;
 
   void datagram_pending() override;
   void timer_expired(std::uint64_t token) override;
-  void on_update(const members::Sender& from, const members::MemberUpdate& w) override;
+  void on_update(const members::Sender& from, const members::MemberUpdate& update) override;
   void on_ping(const members::Sender& from, members::Nonce nonce) override;
   void on_ack(const members::Sender& from, members::Nonce nonce) override;
-  void on_ping_request(const members::Sender& from, members::Nonce nonce, std::string_view whom,
+  void on_ping_request(const members::Sender& from, members::Nonce nonce, std::string_view target,
                        const Address& at) override;
   void on_view_query(members::Nonce nonce, std::string_view after) override;
 
-  void beat_to_all();
+  void send_heartbeats();
   void probe();
-  void set(Member& m, members::MemberState standing);
+  void set_state(Member& m, members::MemberState state);
   members::MemberUpdate update_of(const std::string& name, const Member& m) const;
-  members::Sender from() const;
-  void send(members::MessageKind kind, const Address& to, members::Nonce nonce, bool all = false);
-  std::size_t below(std::size_t n) { return chance_() % n; }
+  members::Sender self() const;
+  // Sends a message with the node's own state and, in SWIM, the updates that were sent least often so far.
+  // `send_all`: sends all live members as well, in as many datagrams as they need.
+  void send(members::MessageKind kind, const Address& to, members::Nonce nonce, bool send_all = false);
+  std::size_t random_below(std::size_t n) { return random_() % n; }
 
   net::Network& network_;
   net::TimerQueue& timers_;
-  BaselineProtocol way_;
-  Address at_, came_from_;
+  BaselineProtocol protocol_;
+  Address address_, last_sender_;
   std::string name_;
   std::vector<Address> seeds_;
   Micros interval_;
-  std::knuth_b chance_;
+  std::knuth_b random_;
   Members members_;
-  std::vector<std::string> order_;
-  std::string probed_;
-  bool answered_ = true;
-  std::uint64_t nonces_ = 0, probe_nonce_ = 0;
-  std::map<std::uint64_t, std::pair<members::Nonce, Address>> helped_;
+  std::vector<std::string> probe_order_;  // the members left to probe in this round
+  std::string probe_target_;
+  bool probe_acked_ = true;
+  std::uint64_t last_nonce_ = 0, probe_nonce_ = 0;
+  // Probes sent on behalf of others, by their nonce: the nonce and the address of the requester.
+  std::map<std::uint64_t, std::pair<members::Nonce, Address>> relayed_probes_;
 };
 
 }  // namespace flintweir::lab
--- a/src/lab/fleet/loopback_harness.cpp
+++ b/src/lab/fleet/loopback_harness.cpp
@@ -14,15 +14,16 @@
 
 using namespace std::chrono_literals;
 
-std::atomic<unsigned> runs{0};
+std::atomic<unsigned> run_count{0};  // harnesses created by this process
 
-constexpr std::uint16_t kHears = 7946, kRelayed = 7947, kServes = 8081, kObserverPort = 7948, kHosts = 9001,
-                        kLedger = 9002;
+constexpr std::uint16_t kListenPort = 7946, kAdvertisedPort = 7947, kClientPort = 8081, kObserverPort = 7948,
+                        kHostPort = 9001, kLedgerPort = 9002;
 
-// Each run has addresses of its own, so that two at a time don't meet, in one process or in two.
-Address loopback(unsigned block, unsigned of, std::uint16_t port) {
+// Address `index` of a run. Each run has addresses of its own, so that concurrent runs do not collide,
+// whether in one process or in several.
+Address loopback_address(unsigned run, unsigned index, std::uint16_t port) {
   const auto pid = static_cast<unsigned>(getpid());
-  const unsigned n = block * 256 + of;
+  const unsigned n = run * 256 + index;
   Address out;
   out.bytes = {127, static_cast<std::uint8_t>(64 + pid % 128),
                static_cast<std::uint8_t>((pid / 128 + n / 250) % 256),
@@ -33,10 +34,13 @@
 
 }  // namespace
 
+// Receives the datagrams sent to the advertised address of a process, applies the faults of the link that
+// they came over, and forwards them to the process.
 class LoopbackHarness::Relay final : net::DatagramEvents {
  public:
-  Relay(LoopbackHarness& rig, NodeEndpoint of) : rig_(rig), of_(of), network_(rig.clock_) {
-    network_.open_datagrams(rig.advertised_address(of));
+  Relay(LoopbackHarness& harness, NodeEndpoint target)
+      : harness_(harness), target_(target), network_(harness.network_) {
+    network_.open_datagrams(harness.advertised_address(target));
     network_.wait_datagram(*this);
   }
   ~Relay() { network_.shut_down(); }
@@ -45,41 +49,42 @@
   void datagram_pending() override {
     char bytes[2048];
     for (;;) {
-      const net::ReceiveResult got = network_.receive(bytes, sizeof bytes);
-      if (got.status == net::IoStatus::would_block) break;
-      const auto from = rig_.senders_.find(got.from);
-      if (got.status != net::IoStatus::done || from == rig_.senders_.end()) continue;
-      if (rig_.on_sent) rig_.on_sent(from->second, got.bytes);
-      const DatagramFaults& way = rig_.link(from->second.node, of_.node);
-      for (auto& [in, copy] : delivered_copies(way, rig_.chance_, {bytes, got.bytes})) {
-        if (in == 0us)
-          network_.send_datagram(rig_.listen_address(of_), copy);
+      const net::ReceiveResult received = network_.receive(bytes, sizeof bytes);
+      if (received.status == net::IoStatus::would_block) break;
+      const auto from = harness_.endpoints_by_address_.find(received.from);
+      if (received.status != net::IoStatus::done || from == harness_.endpoints_by_address_.end()) continue;
+      if (harness_.on_sent) harness_.on_sent(from->second, received.bytes);
+      const DatagramFaults& link = harness_.link(from->second.node, target_.node);
+      for (auto& [delay, copy] : delivered_copies(link, harness_.random_, {bytes, received.bytes})) {
+        if (delay == 0us)
+          network_.send_datagram(harness_.listen_address(target_), copy);
         else
-          rig_.schedule_at(rig_.now() + in, [this, text = std::move(copy)] {
-            network_.send_datagram(rig_.listen_address(of_), text);
+          harness_.schedule_at(harness_.now() + delay, [this, text = std::move(copy)] {
+            network_.send_datagram(harness_.listen_address(target_), text);
           });
       }
     }
     network_.wait_datagram(*this);
   }
 
-  LoopbackHarness& rig_;
-  NodeEndpoint of_;
+  LoopbackHarness& harness_;
+  NodeEndpoint target_;
   net::KernelNetwork network_;
 };
 
-// A host that takes whatever comes and is never busy, so that a session asks nothing but its node.
+// A host that accepts every session and is never busy, so that the outcome of a session depends on its node
+// alone.
 class LoopbackHarness::Host final : net::AcceptEvents {
  public:
-  Host(LoopbackHarness& rig, const Address& at) : network_(rig.clock_) {
+  Host(LoopbackHarness& harness, const Address& at) : network_(harness.network_) {
     network_.listen(at);
     network_.wait_accept(*this);
   }
   ~Host() { network_.shut_down(); }
 
  private:
-  struct Call final : net::SocketEvents {
-    Call(net::Network& of, net::SocketKey at) : network(of), socket(at) {
+  struct Connection final : net::SocketEvents {
+    Connection(net::Network& network, net::SocketKey socket) : network(network), socket(socket) {
       network.set_events(socket, *this);
       network.wait_read(socket);
     }
@@ -87,56 +92,57 @@
     void writable(bool) override {}
     void readable(bool broken) override {
       char bytes[512];
-      const net::IoResult got =
+      const net::IoResult result =
           broken ? net::IoResult{0, net::IoStatus::failed} : network.read(socket, bytes, sizeof bytes);
-      if (got.bytes == 0 && got.status != net::IoStatus::would_block) {
-        over = true;
+      if (result.bytes == 0 && result.status != net::IoStatus::would_block) {
+        closed = true;
         return network.close(socket, true);
       }
-      in.append(bytes, got.bytes);
-      for (std::size_t end; (end = in.find('\n')) != in.npos; in.erase(0, end + 1)) {
-        const std::string_view line(in.data(), end);
-        const std::string_view said[] = {line.starts_with("OPEN")    ? "UP r1\r\n"
-                                         : line.starts_with("STATS") ? "PONG util=0.1,x0=0.1,inflight=1\r\n"
-                                         : line.starts_with("PING")  ? "PONG\r\n"
-                                                                     : ""};
-        if (!said[0].empty()) network.write(socket, said);
+      input.append(bytes, result.bytes);
+      for (std::size_t end; (end = input.find('\n')) != input.npos; input.erase(0, end + 1)) {
+        const std::string_view line(input.data(), end);
+        const std::string_view reply[] = {line.starts_with("OPEN")    ? "UP r1\r\n"
+                                          : line.starts_with("STATS") ? "PONG util=0.1,x0=0.1,inflight=1\r\n"
+                                          : line.starts_with("PING")  ? "PONG\r\n"
+                                                                      : ""};
+        if (!reply[0].empty()) network.write(socket, reply);
       }
       network.wait_read(socket);
     }
     net::Network& network;
     net::SocketKey socket;
-    std::string in;
-    bool over = false;
+    std::string input;
+    bool closed = false;
   };
   void connection_pending() override {
-    std::erase_if(calls_, [](const auto& c) { return c->over; });
+    std::erase_if(connections_, [](const auto& connection) { return connection->closed; });
     for (net::AcceptResult next; (next = network_.accept()).status == net::IoStatus::done;)
-      calls_.push_back(std::make_unique<Call>(network_, next.socket));
+      connections_.push_back(std::make_unique<Connection>(network_, next.socket));
     network_.wait_accept(*this);
   }
 
   net::KernelNetwork network_;
-  std::vector<std::unique_ptr<Call>> calls_;
+  std::vector<std::unique_ptr<Connection>> connections_;
 };
 
-// A client of one node: a session to the host and its end, within a time that a busy machine keeps. It comes
-// again where it hears that it may.
-class LoopbackHarness::Knock final : net::SocketEvents {
+// A client that opens one session through a node to the host and closes it. Succeeds if the session is
+// accepted within 5 s, a limit that a busy machine keeps. A session refused with BUSY is retried after
+// 200 ms.
+class LoopbackHarness::Client final : net::SocketEvents {
  public:
-  Knock(LoopbackHarness& rig, const Address& at, std::function<void(bool)> answered)
-      : rig_(rig), network_(rig.clock_), at_(at), answered_(std::move(answered)) {
-    begin();
-    rig.schedule_at(rig.now() + 5s, [this] { end(false); });
+  Client(LoopbackHarness& harness, const Address& at, std::function<void(bool)> on_result)
+      : harness_(harness), network_(harness.network_), at_(at), on_result_(std::move(on_result)) {
+    connect();
+    harness.schedule_at(harness.now() + 5s, [this] { finish(false); });
   }
-  bool over() const { return over_; }
+  bool closed() const { return done_; }
 
  private:
-  void begin() { socket_ = network_.connect(at_, *this); }
+  void connect() { socket_ = network_.connect(at_, *this); }
   void connected(net::ConnectResult result) override {
-    if (result != net::ConnectResult::established) return end(false);
-    // A new one at each try: that of a session just refused may still be in use.
-    const std::string id = std::to_string(++rig_.sessions_);
+    if (result != net::ConnectResult::established) return finish(false);
+    // Each attempt has a new identifier, since that of a session just refused may still be in use.
+    const std::string id = std::to_string(++harness_.session_count_);
     const std::string text = "OPEN " + id + " k" + id + " c=chat,d=2000\r\n";
     const std::string_view parts[] = {text};
     network_.write(socket_, parts);
@@ -144,121 +150,126 @@
   }
   void readable(bool broken) override {
     char bytes[64];
-    const net::IoResult got =
+    const net::IoResult result =
         broken ? net::IoResult{0, net::IoStatus::failed} : network_.read(socket_, bytes, sizeof bytes);
-    const std::string_view said(bytes, got.bytes);
-    if (!said.starts_with("BUSY")) return end(said.starts_with("UP "));
+    const std::string_view reply(bytes, result.bytes);
+    if (!reply.starts_with("BUSY")) return finish(reply.starts_with("UP "));
     network_.close(std::exchange(socket_, {}), true);
-    rig_.schedule_at(rig_.now() + 200ms, [this] {
-      if (!over_) begin();
+    harness_.schedule_at(harness_.now() + 200ms, [this] {
+      if (!done_) connect();
     });
   }
   void writable(bool) override {}
-  void end(bool well) {
-    if (std::exchange(over_, true)) return;
+  void finish(bool serving) {
+    if (std::exchange(done_, true)) return;
     network_.close(socket_, true);
-    answered_(well);
+    on_result_(serving);
   }
 
-  LoopbackHarness& rig_;
+  LoopbackHarness& harness_;
   net::KernelNetwork network_;
   Address at_;
   net::SocketKey socket_;
-  std::function<void(bool)> answered_;
-  bool over_ = false;
+  std::function<void(bool)> on_result_;
+  bool done_ = false;
 };
 
 LoopbackHarness::LoopbackHarness(std::vector<std::string> program, std::string folder, unsigned nodes,
-                                 Micros interval, std::uint64_t seed)
-    : block_(runs++),
-      nodes_(nodes),
-      interval_(interval),
+                                 Micros probe_interval, std::uint64_t seed)
+    : run_number_(run_count++),
+      node_count_(nodes),
+      probe_interval_(probe_interval),
       program_(std::move(program)),
       folder_(std::move(folder)),
-      event_queue_(clock_.now()),
-      chance_(static_cast<std::knuth_b::result_type>(seed | 1)),
+      event_queue_(network_.now()),
+      random_(static_cast<std::knuth_b::result_type>(seed | 1)),
       links_(std::size_t{nodes} * nodes) {
   std::signal(SIGPIPE, SIG_IGN);
-  host_ = std::make_unique<Host>(*this, loopback(block_, 0, kHosts));
+  host_ = std::make_unique<Host>(*this, loopback_address(run_number_, 0, kHostPort));
 }
 
 LoopbackHarness::~LoopbackHarness() = default;
 
 Address LoopbackHarness::listen_address(NodeEndpoint at) const {
-  return loopback(block_, 1 + at.address * nodes_ + at.node, kHears);
+  return loopback_address(run_number_, 1 + at.address * node_count_ + at.node, kListenPort);
 }
 Address LoopbackHarness::advertised_address(NodeEndpoint at) const {
-  return loopback(block_, 1 + at.address * nodes_ + at.node, kRelayed);
+  return loopback_address(run_number_, 1 + at.address * node_count_ + at.node, kAdvertisedPort);
 }
 Address LoopbackHarness::client_address(NodeEndpoint at) const {
-  return loopback(block_, 1 + at.address * nodes_ + at.node, kServes);
+  return loopback_address(run_number_, 1 + at.address * node_count_ + at.node, kClientPort);
 }
-Address LoopbackHarness::ledger_address() const { return loopback(block_, 0, kLedger); }
-Address LoopbackHarness::observer_address() const { return loopback(block_, 0, kObserverPort); }
+Address LoopbackHarness::ledger_address() const { return loopback_address(run_number_, 0, kLedgerPort); }
+Address LoopbackHarness::observer_address() const { return loopback_address(run_number_, 0, kObserverPort); }
 
 void LoopbackHarness::run_until(Micros end) {
   while (now() < end) {
     event_queue_.run_until(now());
-    clock_.run_for(std::min<Micros>(2ms, std::max(end - now(), 0us)));
+    network_.run_for(std::min<Micros>(2ms, std::max(end - now(), 0us)));
   }
   event_queue_.run_until(now());
 }
 
-std::string LoopbackHarness::file(NodeEndpoint at, const char* ending) const {
-  return folder_ + "/n" + std::to_string(at.node) + "-" + std::to_string(at.address) + ending;
+std::string LoopbackHarness::path(NodeEndpoint at, const char* extension) const {
+  return folder_ + "/n" + std::to_string(at.node) + "-" + std::to_string(at.address) + extension;
 }
 
-void LoopbackHarness::write_operator(NodeEndpoint at, const std::vector<NodeEndpoint>& seeds) const {
-  std::ofstream out(file(at, ".toml"), std::ios::trunc);
+void LoopbackHarness::write_operator_file(NodeEndpoint at, const std::vector<NodeEndpoint>& seeds) const {
+  std::ofstream out(path(at, ".toml"), std::ios::trunc);
   out << "[fleet]\nname = \"rig\"\naddress = \"" << to_text(listen_address(at)) << "\"\ntold = \""
-      << to_text(advertised_address(at)) << "\"\ninterval = \"" << interval_.count() << "us\"\nseeds = [";
-  for (const NodeEndpoint& s : seeds)
-    out << (s == seeds.front() ? "" : ", ") << '"' << to_text(advertised_address(s)) << '"';
-  out << "]\n" << more_;
+      << to_text(advertised_address(at)) << "\"\ninterval = \"" << probe_interval_.count()
+      << "us\"\nseeds = [";
+  for (const NodeEndpoint& seed : seeds)
+    out << (seed == seeds.front() ? "" : ", ") << '"' << to_text(advertised_address(seed)) << '"';
+  out << "]\n" << operator_sections_;
 }
 
 void LoopbackHarness::start_lease_holder(NodeEndpoint at, const std::string& lease,
                                          const std::vector<std::string>& command, unsigned nodes) {
   if (!relays_.contains(at)) relays_[at] = std::make_unique<Relay>(*this, at);
-  senders_[listen_address(at)] = at;
+  endpoints_by_address_[listen_address(at)] = at;
   {
-    // Views are asked for past the relays; what is said of leases goes through them.
-    std::ofstream out(file(at, ".toml"), std::ios::trunc);
+    // The seeds are given by their own addresses: queries for views bypass the relays, but messages about
+    // leases pass them.
+    std::ofstream out(path(at, ".toml"), std::ios::trunc);
     out << "[fleet]\nname = \"rig\"\naddress = \"" << to_text(listen_address({0, 0})) << "\"\nseeds = [";
     for (unsigned n = 0; n < nodes; ++n)
       out << (n ? ", " : "") << '"' << to_text(listen_address({n, 0})) << '"';
-    out << "]\n" << more_;
+    out << "]\n" << operator_sections_;
   }
-  std::vector<std::string> words = program_;
-  words.insert(words.end(), {"lease", "hold", lease, "--operator", file(at, ".toml"), "--from",
-                             to_text(listen_address(at)), "--told", to_text(advertised_address(at)), "--"});
-  words.insert(words.end(), command.begin(), command.end());
-  processes_[at] = std::make_unique<ChildProcess>(std::move(words), file(at, ".log"));
+  std::vector<std::string> arguments = program_;
+  arguments.insert(arguments.end(),
+                   {"lease", "hold", lease, "--operator", path(at, ".toml"), "--from",
+                    to_text(listen_address(at)), "--told", to_text(advertised_address(at)), "--"});
+  arguments.insert(arguments.end(), command.begin(), command.end());
+  processes_[at] = std::make_unique<ChildProcess>(std::move(arguments), path(at, ".log"));
 }
 
 void LoopbackHarness::start(NodeEndpoint at, const std::string& name,
                             const std::vector<NodeEndpoint>& seeds) {
   if (!relays_.contains(at)) relays_[at] = std::make_unique<Relay>(*this, at);
-  senders_[listen_address(at)] = at;
-  write_operator(at, seeds);
-  std::ofstream(file(at, ".json"), std::ios::trunc)
+  endpoints_by_address_[listen_address(at)] = at;
+  write_operator_file(at, seeds);
+  std::ofstream(path(at, ".json"), std::ios::trunc)
       << R"({"name":")" << name << R"(","listen":")" << to_text(client_address(at))
-      << R"(","discovery":"127.0.0.1:9","seed":")" << std::hex << chance_() << std::dec
+      << R"(","discovery":"127.0.0.1:9","seed":")" << std::hex << random_() << std::dec
       << R"(","known":{"rev":1,"all":true,"targets":[{"uid":"s-1","endpoint":")"
-      << to_text(loopback(block_, 0, kHosts))
+      << to_text(loopback_address(run_number_, 0, kHostPort))
       << R"(","az":"a","pod_group":1,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}]})"
-      << R"(,"limits":{"memory_mb":64,"sockets":256},"settings":{"balancers":)" << nodes_
+      << R"(,"limits":{"memory_mb":64,"sockets":256},"settings":{"balancers":)" << node_count_
       << R"(,"myZone":0,"failureDomains":["a"],"discovery":"on_request","listeners":[{"name":"chat",)"
       << R"("handshakeTarget":500000,"dialTimeout":2000000,"effect":"repeatable","group":"all"})"
-      // As in virtual time: a change may fit some nodes only.
+      // As in VirtualHarness, only nodes of even number have this listener, so a change may fit some nodes
+      // only.
       << (at.node % 2 ? ""
                       : R"(,{"name":"even","handshakeTarget":500000,"dialTimeout":2000000,"effect":"once"})")
       << "],"
       << R"("ceilings":{"maxDials":3,"probes":true},"rules":{"askEvery":10000000,"cold":7200000,"coldShare":0.3,)"
       << R"("overloadFactor":3.0,"tipAfter":1500000},"prices":{"probe":0.002},"reporting":{"fields":["util"]}}})";
-  std::vector<std::string> words = program_;
-  words.insert(words.end(), {"serve", "--config", file(at, ".json"), "--operator", file(at, ".toml")});
-  processes_[at] = std::make_unique<ChildProcess>(std::move(words), file(at, ".log"));
+  std::vector<std::string> arguments = program_;
+  arguments.insert(arguments.end(),
+                   {"serve", "--config", path(at, ".json"), "--operator", path(at, ".toml")});
+  processes_[at] = std::make_unique<ChildProcess>(std::move(arguments), path(at, ".log"));
 }
 
 void LoopbackHarness::kill(NodeEndpoint at) { processes_.erase(at); }
@@ -268,11 +279,11 @@
 }
 
 void LoopbackHarness::leave(NodeEndpoint at) { signal(at, SIGTERM); }
-void LoopbackHarness::freeze(NodeEndpoint at, bool on) { signal(at, on ? SIGSTOP : SIGCONT); }
+void LoopbackHarness::freeze(NodeEndpoint at, bool frozen) { signal(at, frozen ? SIGSTOP : SIGCONT); }
 
 void LoopbackHarness::reload(NodeEndpoint at, const std::vector<NodeEndpoint>& seeds) {
   if (!running(at)) return;
-  write_operator(at, seeds);
+  write_operator_file(at, seeds);
   signal(at, SIGHUP);
 }
 
@@ -281,14 +292,14 @@
   return it != processes_.end() && it->second->running();
 }
 
-void LoopbackHarness::check_serving(NodeEndpoint at, std::function<void(bool)> answered) {
-  knocks_.push_back(std::make_unique<Knock>(*this, client_address(at), std::move(answered)));
+void LoopbackHarness::check_serving(NodeEndpoint at, std::function<void(bool)> on_result) {
+  clients_.push_back(std::make_unique<Client>(*this, client_address(at), std::move(on_result)));
 }
 
-void LoopbackHarness::read_logs(const std::function<void(NodeEndpoint, std::string_view)>& line) {
+void LoopbackHarness::read_logs(const std::function<void(NodeEndpoint, std::string_view)>& on_line) {
   for (const auto& [at, process] : processes_) {
-    std::ifstream in(file(at, ".log"));
-    for (std::string text; std::getline(in, text);) line(at, text);
+    std::ifstream in(path(at, ".log"));
+    for (std::string text; std::getline(in, text);) on_line(at, text);
   }
 }
 
--- a/src/lab/fleet/virtual_harness.h
+++ b/src/lab/fleet/virtual_harness.h
@@ -1,4 +1,4 @@
-// The rig in virtual time: the node's own peers on the lab's network.
+// A test harness in virtual time: the membership code of the node, on the virtual network of the lab.
 #pragma once
 
 #include <map>
@@ -15,74 +15,77 @@
 
 class VirtualHarness final : public FleetHarness, net::LogSink {
  public:
-  // Logs go to `logged`, unless that is null.
-  // `plain`: nodes know each other in that way instead.
-  VirtualHarness(unsigned nodes, Micros interval, Micros forgets, std::uint64_t seed, std::string* logged,
-                 std::optional<BaselineProtocol> plain = {});
+  // `forget_after`: how long members that failed or left are remembered. `log`: gets what the nodes log,
+  // unless null; it has to outlive the harness. `baseline`: the nodes run this protocol instead of their own.
+  VirtualHarness(unsigned nodes, Micros probe_interval, Micros forget_after, std::uint64_t seed,
+                 std::string* log, std::optional<BaselineProtocol> baseline = {});
   ~VirtualHarness() override;
 
   Micros now() const override { return event_queue_.now(); }
-  void schedule_at(Micros when, std::function<void()> act) override {
-    event_queue_.schedule_at(when, std::move(act));
+  void schedule_at(Micros when, std::function<void()> action) override {
+    event_queue_.schedule_at(when, std::move(action));
   }
   void run_until(Micros end) override { event_queue_.run_until(end); }
   void start(NodeEndpoint at, const std::string& name, const std::vector<NodeEndpoint>& seeds) override;
-  void kill(NodeEndpoint at) override { units_.erase(at); }
+  void kill(NodeEndpoint at) override { processes_.erase(at); }
   void leave(NodeEndpoint at) override;
-  void freeze(NodeEndpoint at, bool on) override;
+  void freeze(NodeEndpoint at, bool frozen) override;
   void reload(NodeEndpoint at, const std::vector<NodeEndpoint>& seeds) override;
-  void set_clock_lag(NodeEndpoint at, Micros by) override { clocks_back_[at] = by; }
-  bool running(NodeEndpoint at) override { return units_.contains(at); }
-  DatagramFaults& link(unsigned from, unsigned to) override { return links_[from * nodes_ + to]; }
+  void set_clock_lag(NodeEndpoint at, Micros by) override { clock_lags_[at] = by; }
+  bool running(NodeEndpoint at) override { return processes_.contains(at); }
+  DatagramFaults& link(unsigned from, unsigned to) override { return links_[from * node_count_ + to]; }
   Address listen_address(NodeEndpoint at) const override;
   net::Network& observer() override { return *observer_; }
   const char* fleet_name() const override { return "lab"; }
-  // Those that start from now on pass changes on. Their listeners are chat, and on even nodes even.
-  void enable_changes() { carries_ = true; }
+  // Nodes that start from now on distribute configuration changes. All nodes have the listener `chat`, and
+  // nodes of even number also the listener `even`, so that a change may fit some nodes only.
+  void enable_changes() { changes_enabled_ = true; }
   Address observer_address() const override { return VirtualNetwork::address(observer_machine_, kPort); }
-  void check_serving(NodeEndpoint, std::function<void(bool)> answered) override { answered(true); }
-  // Voters among the nodes that start from now on.
+  void check_serving(NodeEndpoint, std::function<void(bool)> on_result) override { on_result(true); }
+  // Nodes that start from now on vote on leases if `leases` names them as voters.
   void enable_voting(const setup::LeasesSection& leases) { leases_ = leases; }
-  // Its clock for leases, of what starts there next.
-  void set_clock_rate(NodeEndpoint at, double rate) { rates_[at] = rate; }
-  // A process and its timers alone, for whoever runs something of his own there.
+  // The rate of the clock for leases, for the processes that start there from now on.
+  void set_clock_rate(NodeEndpoint at, double rate) { clock_rates_[at] = rate; }
+  // Starts a process with timers but without a member of the fleet, for code that the caller runs on it.
   void start_process(NodeEndpoint at);
-  net::Network& process(NodeEndpoint at) { return *units_.at(at).process; }
-  net::TimerQueue& timers(NodeEndpoint at) { return *units_.at(at).timers; }
-  void read_logs(const std::function<void(NodeEndpoint, std::string_view)>& line) override;
+  net::Network& process(NodeEndpoint at) { return *processes_.at(at).process; }
+  net::TimerQueue& timers(NodeEndpoint at) { return *processes_.at(at).timers; }
+  void read_logs(const std::function<void(NodeEndpoint, std::string_view)>& on_line) override;
 
  private:
   static constexpr std::uint16_t kPort = 7946;
-  static constexpr Micros kStart{1'700'000'000'000'000};
-  struct Unit {
+  static constexpr Micros kStartTime{1'700'000'000'000'000};
+  // A process runs either the member of the node or a baseline, or nothing of the harness.
+  struct NodeProcess {
     std::unique_ptr<Process> process;
     std::unique_ptr<net::TimerQueue> timers;
-    std::unique_ptr<node::FleetMember> peers;  // or
-    std::unique_ptr<BaselineMembership> plain;
+    std::unique_ptr<node::FleetMember> member;
+    std::unique_ptr<BaselineMembership> baseline;
     std::vector<std::string> log;
-    std::uint64_t start = 0;  // of this stage's
+    std::uint64_t start = 0;  // counts the starts of this harness
   };
-  MachineId machine(NodeEndpoint at) const { return MachineId{at.address * nodes_ + at.node}; }
+  MachineId machine(NodeEndpoint at) const { return MachineId{at.address * node_count_ + at.node}; }
   setup::FleetSection section(NodeEndpoint at, const std::vector<NodeEndpoint>& seeds) const;
   void write_line(const char* text) override;
 
-  static constexpr unsigned kAddresses = 6;  // of each node
-  unsigned nodes_;
-  Micros interval_, forgets_;
-  std::uint64_t seed_, starts_ = 0;
-  std::string* logged_;
-  std::optional<BaselineProtocol> plain_;
+  static constexpr unsigned kAddressesPerNode = 6;
+  unsigned node_count_;
+  Micros probe_interval_, forget_after_;
+  std::uint64_t seed_, start_count_ = 0;
+  std::string* log_;
+  std::optional<BaselineProtocol> baseline_;
   EventQueue event_queue_;
   VirtualNetwork network_;
   std::vector<DatagramFaults> links_;
   MachineId observer_machine_;
   std::unique_ptr<Process> observer_;
-  bool carries_ = false;
+  bool changes_enabled_ = false;
   std::optional<setup::LeasesSection> leases_;
-  std::map<NodeEndpoint, double> rates_;
-  std::map<NodeEndpoint, Micros> clocks_back_;
-  std::map<NodeEndpoint, Unit> units_;
-  std::optional<NodeEndpoint> called_;  // by the stage itself, past the network
+  std::map<NodeEndpoint, double> clock_rates_;
+  std::map<NodeEndpoint, Micros> clock_lags_;
+  std::map<NodeEndpoint, NodeProcess> processes_;
+  // Set while the harness calls a node directly, not from a network event.
+  std::optional<NodeEndpoint> direct_call_;
 };
 
 }  // namespace flintweir::lab
