--- a/src/lab/runner.h
+++ b/src/lab/runner.h
@@ -1,4 +1,4 @@
-// Runs of an experiment over many seeds, in parallel, with the same outcome however many run at a time.
+// Runs of an experiment over many seeds, in parallel. The outcome does not depend on the number of threads.
 #pragma once
 
 #include <functional>
@@ -17,30 +17,34 @@
   std::uint64_t seed = 0;
   Outcome outcome;
   std::string node_log;
-  std::string failed;       // the run itself could not be made, and why
-  double wall_seconds = 0;  // seconds of this machine's time
+  std::string failed;       // why the run could not be completed; empty if it was
+  double wall_seconds = 0;  // wall-clock duration
 };
 
+// Which logs to keep: of the run's events, and of the nodes' log lines.
 struct RecordOptions {
   bool events = false, node_log = false;
 };
 
-// One run in virtual time. `only`: the faults that are left in, by their place; all of them without it.
+// One run in virtual time. `only` gives the indexes of the faults to inject; without it all of them.
 RunResult run_virtual(const Experiment& experiment, std::uint64_t seed, RecordOptions keep = {},
                       const std::optional<std::set<std::size_t>>& only = {});
-// One run in real time against a program. Throws InputError where the experiment needs what loopback has not.
+// One run in real time against the real program, whose files go to `folder`. Throws InputError if the
+// experiment needs a feature that only the simulated network has.
 RunResult run_real(const Experiment& experiment, std::uint64_t seed, RecordOptions keep,
                    const std::vector<std::string>& program, const std::string& folder);
 
-// Each seed from first to last, so many at a time; `done` is called in the order of the seeds, by one thread
-// at a time. It returns false to end early.
+// Runs each seed from first to last on `jobs` threads. `done` is called in the order of the seeds, by one
+// thread at a time, and returns false to end early. Rethrows the first exception of a run.
 void run_seeds(std::uint64_t first, std::uint64_t last, unsigned jobs,
                const std::function<RunResult(std::uint64_t)>& run,
                const std::function<bool(RunResult&&)>& done);
 
-// The fewest faults found with which the run still breaks the same rule; by halves, then one by one. `tried`
-// is told after each run. Nothing where the whole run breaks none.
-std::optional<std::set<std::size_t>> shrink(const Experiment& experiment, std::uint64_t seed, unsigned jobs,
-                                            const std::function<void(std::size_t left, bool fails)>& tried);
+// Returns the smallest set of faults found with which the run still violates the same rule. Leaves out groups
+// of faults, first halves and then smaller groups, down to single faults. `tried` is called after each round.
+// Returns nothing if the full run violates no rule.
+std::optional<std::set<std::size_t>> shrink(
+    const Experiment& experiment, std::uint64_t seed, unsigned jobs,
+    const std::function<void(std::size_t remaining, bool fails)>& tried);
 
 }  // namespace flintweir::lab
