--- a/src/lab/faults/plan.h
+++ b/src/lab/faults/plan.h
@@ -51,9 +51,11 @@
 };
 
 struct ListPlan {
-  Micros update_delay[2];    // least and most time until discovery publishes a change
-  Micros poll_interval;      // between a node's requests for the list
-  bool only_draining_binds;  // nodes may go on using a host that the list calls gone or leaves out
+  Micros update_delay[2];  // least and most time until discovery publishes a change
+  Micros poll_interval;    // between a node's requests for the list
+  // Only the status "draining" forbids new dials: nodes may go on using a host that the list states as
+  // removed or leaves out.
+  bool only_draining_binds;
 };
 
 struct FrontPlan {
@@ -101,7 +103,7 @@
   std::string kind;
   std::optional<Micros> at, every;  // exactly one is set
   Micros duration;
-  double share;      // of the possible targets that a fault with a given time hits
+  double share;      // of the possible targets, or of the clients, that a fault with a given time hits
   double magnitude;  // its meaning depends on the kind; see the kind's description
   // The name of a zone, host or node; for hosts also of their zone. Empty: chosen at random.
   std::string target_name;
--- a/src/lab/network/virtual_network.cpp
+++ b/src/lab/network/virtual_network.cpp
@@ -396,6 +396,7 @@
   if (n == 0 || n > network_.machines_.size()) return {};
   connection->endpoints[1].machine = {n - 1};
   const net::SocketKey key = open(connection, 0, &events);
+  // Drops the entries of closed connections now and then, so that they do not accumulate.
   if (network_.connections_.size() > 4096 && network_.connections_.size() % 1024 == 0)
     std::erase_if(network_.connections_, [](const auto& w) { return w.expired(); });
   network_.connections_.push_back(connection);
--- a/src/lab/network/virtual_network.h
+++ b/src/lab/network/virtual_network.h
@@ -36,6 +36,7 @@
   double partial = 0;             // share of the writes that accept only a part of the bytes
 };
 
+// Machines, links and the connections and datagrams on them. Must not outlive `event_queue`.
 class VirtualNetwork {
  public:
   VirtualNetwork(EventQueue& event_queue, LinkModel link_model, std::uint64_t seed);
@@ -45,6 +46,7 @@
   EventQueue& event_queue() { return event_queue_; }
   // The machine of the process that was last called for a datagram or an alarm.
   MachineId last_active_machine() const { return last_active_machine_; }
+  // The address of a port of a machine: 10.0.0.0 plus the machine's number plus one.
   static Address address(MachineId machine, std::uint16_t port);
   Micros latency(MachineId a, MachineId b) const;  // one way, without jitter
 
@@ -91,6 +93,8 @@
   };
   using ConnectionPtr = std::shared_ptr<Connection>;
 
+  // Draws the time that a segment or datagram takes: latency, jitter, and the retransmissions on a degraded
+  // link.
   Micros draw_delay(MachineId from, MachineId to);
   void send(const ConnectionPtr& connection, int from, Segment::Kind kind, std::string bytes = {},
             std::size_t acked_bytes = 0);
@@ -98,7 +102,9 @@
   void deliver(const ConnectionPtr& connection, int to, Segment segment);
   void handle_syn(const ConnectionPtr& connection, Address to);
   void transmit_datagram(MachineId from, std::uint16_t port, const Address& to, std::string_view bytes);
+  // Reschedules the segments that were held up, after a blocked path has been opened.
   void resume_deliveries();
+  // Posts the readable and writable events that an endpoint waits for.
   void notify(const ConnectionPtr& connection, int index);
 
   struct Machine {
