--- a/src/lab/models/host_model.h
+++ b/src/lab/models/host_model.h
@@ -64,7 +64,8 @@
   void load_changed(Micros now, double difference);
   void session_closed(Micros now, double load, std::uint64_t group);
 
-  double utilization() const;                 // load relative to the current capacity
+  // The load of the sessions and of the groups that they belong to, relative to the current capacity.
+  double utilization() const;
   double current_capacity(Micros now) const;  // in microseconds of work per second
   Micros line_service_time(Micros now);       // from a line of a client to its reply
   const Report& report(Micros now);           // renewed at most once per refresh interval of the plan
