--- a/apps/flintweir_lab.cpp
+++ b/apps/flintweir_lab.cpp
@@ -447,30 +447,32 @@
 
 int search(std::uint64_t states, Seeds seeds, unsigned jobs) {
   bool broken = false;
-  const auto tell = [&](const char* what, const LeaseSearch& of, const LeaseFound& found, const char* unit) {
+  const auto tell = [&](const char* what, const LeaseSearchOptions& of, const LeaseSearchResult& found,
+                        const char* unit) {
     std::printf(
         "%-8s %u would-be holders, voters %s, %s%s: %llu %s, %llu grants, depth %u, %.1f s; rules %s\n", what,
-        of.seekers, of.folders ? "with folders" : "without", of.held ? "one holds" : "all begin",
-        of.restarts  ? ", restarts"
-        : of.doubles ? ", doubles"
-        : of.lets_go ? ", lets go"
-                     : "",
+        of.candidates, of.voter_storage ? "with folders" : "without",
+        of.starts_held ? "one holds" : "all begin",
+        of.max_restarts     ? ", restarts"
+        : of.max_duplicates ? ", doubles"
+        : of.allow_release  ? ", lets go"
+                            : "",
         static_cast<unsigned long long>(found.states), unit, static_cast<unsigned long long>(found.grants),
-        found.depth, found.took, found.broken ? "broken" : "kept");
-    if (found.broken) std::printf("broken: %s\n", found.broken->c_str());
-    broken = broken || found.broken;
+        found.depth, found.wall_seconds, found.violation ? "broken" : "kept");
+    if (found.violation) std::printf("broken: %s\n", found.violation->c_str());
+    broken = broken || found.violation;
   };
-  std::vector<LeaseSearch> all;
+  std::vector<LeaseSearchOptions> all;
   for (const bool folders : {false, true}) {
     for (const bool held : {false, true}) {
-      LeaseSearch plain;
-      plain.folders = folders, plain.held = held, plain.most_states = states;
-      LeaseSearch restarts = plain, doubles = plain, lets_go = plain;
-      restarts.restarts = 2, doubles.doubles = 1, lets_go.lets_go = true;
-      for (const LeaseSearch& one : {plain, restarts, doubles, lets_go}) all.push_back(one);
+      LeaseSearchOptions plain;
+      plain.voter_storage = folders, plain.starts_held = held, plain.max_states = states;
+      LeaseSearchOptions restarts = plain, doubles = plain, releases = plain;
+      restarts.max_restarts = 2, doubles.max_duplicates = 1, releases.allow_release = true;
+      for (const LeaseSearchOptions& one : {plain, restarts, doubles, releases}) all.push_back(one);
     }
   }
-  std::vector<LeaseFound> found(all.size());
+  std::vector<LeaseSearchResult> found(all.size());
   std::atomic<std::size_t> next{0};
   std::vector<std::thread> threads;
   for (unsigned i = 0; i < jobs; ++i)
@@ -480,9 +482,9 @@
   for (std::thread& t : threads) t.join();
   for (std::size_t i = 0; i < all.size(); ++i) tell("search", all[i], found[i], "states");
   for (const bool folders : {false, true}) {
-    LeaseSearch of;
-    of.folders = folders;
-    tell("walks", of, walk_leases(of, seeds.first, seeds.last, 400), "steps");
+    LeaseSearchOptions of;
+    of.voter_storage = folders;
+    tell("walks", of, random_walk_leases(of, seeds.first, seeds.last, 400), "steps");
   }
   return broken ? 1 : 0;
 }
--- a/src/lab/leases/lease_search.h
+++ b/src/lab/leases/lease_search.h
@@ -1,6 +1,7 @@
-// The leases' own decision code, run through every order of what can happen to it: messages delivered late,
-// twice, never and in any order, voters restarted, would-be holders that lie still, clocks at both ends of
-// the rates allowed. States are told apart by hash. Beside it long walks drawn by a seed.
+// Model checking of the lease protocol. An exhaustive breadth-first search runs the real candidate and voter
+// code through every interleaving of events: messages delayed, duplicated, lost and reordered, voters
+// restarted, candidates paused, and clocks at both ends of the permitted drift. States are identified by
+// their hash. Long random walks, drawn from a seed, complement the search.
 #pragma once
 
 #include <cstdint>
@@ -10,26 +11,29 @@
 
 namespace flintweir::lab {
 
-struct LeaseSearch {
-  unsigned voters = 3, seekers = 2;
-  bool folders = false;  // voters keep what they promise
-  bool held = false;     // begins where the first seeker holds; else where nobody has asked
-  std::uint64_t most_states = 300'000;
-  unsigned restarts = 0, doubles = 0;  // at most, in one order
-  bool lets_go = false;                // a holder may let go and want it again
-  double step = 0.5;                   // of true time, as a share of a lease's length
+struct LeaseSearchOptions {
+  unsigned voters = 3, candidates = 2;
+  bool voter_storage = false;  // voters keep their promises across restarts
+  bool starts_held =
+      false;  // starts with the first candidate holding the lease, otherwise before any request
+  std::uint64_t max_states = 300'000;
+  unsigned max_restarts = 0, max_duplicates = 0;  // upper bounds in one interleaving
+  bool allow_release = false;                     // a holder may release the lease and acquire it again
+  double time_step = 0.5;                         // true time per step, as a fraction of the lease duration
 };
 
-struct LeaseFound {
+struct LeaseSearchResult {
   std::uint64_t states = 0;
   std::uint64_t grants = 0;
-  unsigned depth = 0;                 // all orders up to here were played
-  double took = 0;                    // seconds
-  std::optional<std::string> broken;  // rule=..., and the steps that lead there
+  unsigned depth = 0;                    // all interleavings of up to this many steps were explored
+  double wall_seconds = 0;               // of the search
+  std::optional<std::string> violation;  // rule=..., and the steps that lead to it
 };
 
-LeaseFound search_leases(const LeaseSearch& what);
-// `steps` of chance a walk, with as many restarts and doubles as come.
-LeaseFound walk_leases(const LeaseSearch& what, std::uint64_t first, std::uint64_t last, unsigned steps);
+// Searches breadth-first until a rule is broken, max_states is reached or no new state is left.
+LeaseSearchResult search_leases(const LeaseSearchOptions& options);
+// Takes `steps` random steps for each seed, without a limit on restarts and duplicates.
+LeaseSearchResult random_walk_leases(const LeaseSearchOptions& options, std::uint64_t first_seed,
+                                     std::uint64_t last_seed, unsigned steps);
 
 }  // namespace flintweir::lab
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -182,13 +182,13 @@
 
 TEST(Search, FindsNoOrderInWhichTwoHoldTheLease) {
   for (const bool folders : {false, true}) {
-    lab::LeaseSearch search;
-    search.folders = folders, search.held = true, search.restarts = 1,
-    search.most_states = FLINTWEIR_LEASE_STATES;
-    const lab::LeaseFound searched = search_leases(search),
-                          walked = walk_leases(search, 1, FLINTWEIR_LEASE_STATES / 15, 400);
-    EXPECT_FALSE(searched.broken) << *searched.broken;
-    EXPECT_FALSE(walked.broken) << *walked.broken;
+    lab::LeaseSearchOptions search;
+    search.voter_storage = folders, search.starts_held = true, search.max_restarts = 1,
+    search.max_states = FLINTWEIR_LEASE_STATES;
+    const lab::LeaseSearchResult searched = search_leases(search),
+                                 walked = random_walk_leases(search, 1, FLINTWEIR_LEASE_STATES / 15, 400);
+    EXPECT_FALSE(searched.violation) << *searched.violation;
+    EXPECT_FALSE(walked.violation) << *walked.violation;
     EXPECT_GT(walked.grants, 200u);  // otherwise nothing has been tested
   }
 }
