--- a/apps/flintweir_lab.cpp
+++ b/apps/flintweir_lab.cpp
@@ -384,12 +384,12 @@
 }
 
 int leases(Seeds seeds, const RunWays& ways, const std::string& only) {
-  const auto& kinds = lease_troubles();
+  const auto& kinds = lease_faults();
   if (!only.empty() && std::find(kinds.begin(), kinds.end(), only) == kinds.end())
     throw InputError("leases: there is no trouble '" + only + "'");
-  std::uint64_t acts = 0, refused = 0, broken = 0, runs = 0;
-  double asked = 0;
-  std::map<std::string, std::vector<double>> by_trouble;
+  std::uint64_t operations = 0, refused = 0, broken = 0, runs = 0;
+  double requests_per_second = 0;
+  std::map<std::string, std::vector<double>> gaps_by_fault;
   std::mutex mutex;
   std::atomic<std::uint64_t> next{seeds.first};
   const std::string self = fs::read_symlink("/proc/self/exe").string();
@@ -402,23 +402,25 @@
                                      : run_leases_virtual(seed, only, ways.holders);
       if (ways.out.empty()) fs::remove_all(folder);
       const std::lock_guard lock(mutex);
-      ++runs, acts += one.acts, refused += one.refused, asked += one.asked;
-      by_trouble[one.trouble].push_back(one.gap);
-      for (const std::string& b : one.broken)
+      ++runs, operations += one.operations, refused += one.refused,
+          requests_per_second += one.requests_per_second;
+      gaps_by_fault[one.fault].push_back(one.longest_gap_ms);
+      for (const std::string& b : one.violations)
         if (++broken <= 20)
           std::printf("broken: %s seed=%llu trouble=%s\n", b.c_str(), static_cast<unsigned long long>(seed),
-                      one.trouble.c_str());
+                      one.fault.c_str());
     }
   };
   std::vector<std::thread> threads;
   for (unsigned i = 0; i < ways.jobs; ++i) threads.emplace_back(work);
   for (std::thread& t : threads) t.join();
   std::printf("%llu runs, %llu acts, %llu refused, %.0f datagrams a second at each voter; rules %s\n",
-              static_cast<unsigned long long>(runs), static_cast<unsigned long long>(acts),
+              static_cast<unsigned long long>(runs), static_cast<unsigned long long>(operations),
               static_cast<unsigned long long>(refused),
-              asked / static_cast<double>(std::max<std::uint64_t>(runs, 1)), broken ? "broken" : "kept");
-  for (const auto& [trouble, values] : by_trouble)
-    std::printf("%-16s nobody acted for: %s\n", trouble.c_str(), spread_of(values, "ms").c_str());
+              requests_per_second / static_cast<double>(std::max<std::uint64_t>(runs, 1)),
+              broken ? "broken" : "kept");
+  for (const auto& [fault, values] : gaps_by_fault)
+    std::printf("%-16s nobody acted for: %s\n", fault.c_str(), spread_of(values, "ms").c_str());
   return broken ? 1 : 0;
 }
 
@@ -797,7 +799,7 @@
   }
   try {
     if (*list_command) return list(folder);
-    if (*act_command) return act_on_ledger(ledger, as);
+    if (*act_command) return run_ledger_operations(ledger, as);
     if (*hollow_command || *scale_command) {
       ways.program = program_of(program);
       return *hollow_command ? hollow(hollow_plan, ways) : scale(sizes, ways);
--- a/src/lab/leases/lease_rig.cpp
+++ b/src/lab/leases/lease_rig.cpp
@@ -20,12 +20,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr unsigned kVoters = 5, kProcesses = 4;  // voters, and would-be holders as processes
-constexpr Micros kLength = 2s, kActTakes = 60ms;
-constexpr const char* kLease = "nightly";
+constexpr unsigned kVoters = 5, kHolders = 4;  // voters, and processes that contend for the lease
+constexpr Micros kLeaseDuration = 2s, kOperationDuration = 60ms;
+constexpr const char* kLeaseName = "nightly";
 
-// Whether it does anything any more: one that nobody has waited for is still listed.
-bool runs(pid_t pid) {
+// Whether the process still executes. A process that has ended but was not waited for is still listed in
+// /proc.
+bool is_running(pid_t pid) {
   std::ifstream in("/proc/" + std::to_string(pid) + "/stat");
   std::string text;
   std::getline(in, text);
@@ -33,39 +34,41 @@
   return name_ends != text.npos && text[name_ends + 2] != 'Z' && text[name_ends + 2] != 'X';
 }
 
-struct Act {
+struct Operation {
   std::uint64_t token = 0;
-  int as = -1, pid = 0;
+  int holder = -1, pid = 0;
 };
 
-// The thing that is acted on. It takes an act under a token that is not smaller than any before it.
+// The resource that the lease protects. It accepts an operation whose token is not smaller than any before
+// it, and reports violations.
 class Ledger {
  public:
-  const Act& last() const { return last_; }
-  std::uint64_t acts = 0, refused = 0;
+  const Operation& last() const { return last_; }
+  std::uint64_t operations = 0, refused = 0;
   std::set<std::uint64_t> tokens;
-  // Who may still try under an old token, or have been stopped in the middle of an act.
-  std::set<int> stopped;
-  std::function<void(const std::string&)> broken;
-  std::function<void()> acted;
-  std::function<bool(int pid)> runs;
+  // Holders that may still try under an old token, or were paused in the middle of an operation.
+  std::set<int> may_be_stale;
+  std::function<void(const std::string&)> report_violation;
+  std::function<void()> on_operation;
+  std::function<bool(int pid)> is_running;
 
-  bool begin(const Act& a) {
+  bool begin(const Operation& a) {
     if (a.token < last_.token) {
       ++refused;
-      if (!stopped.contains(a.as))
-        broken("rule=lease-token: an act by a smaller token, of one never stopped");
+      if (!may_be_stale.contains(a.holder))
+        report_violation("rule=lease-token: an act by a smaller token, of one never stopped");
       return false;
     }
-    if (a.token == last_.token && a.pid != last_.pid) broken("rule=lease-token: one token of two processes");
-    // One that was killed in the middle acts no more.
-    if (open_ && open_->pid != a.pid && runs(open_->pid) && !stopped.contains(open_->as))
-      broken("rule=lease-two: holder " + std::to_string(a.as) + " begins while " + std::to_string(open_->as) +
-             " acts");
-    ++acts;
+    if (a.token == last_.token && a.pid != last_.pid)
+      report_violation("rule=lease-token: one token of two processes");
+    // A process that was killed during its operation does nothing more.
+    if (open_ && open_->pid != a.pid && is_running(open_->pid) && !may_be_stale.contains(open_->holder))
+      report_violation("rule=lease-two: holder " + std::to_string(a.holder) + " begins while " +
+                       std::to_string(open_->holder) + " acts");
+    ++operations;
     tokens.insert(a.token);
     open_ = last_ = a;
-    acted();
+    on_operation();
     return true;
   }
   bool end(std::uint64_t token, int pid) {
@@ -75,75 +78,78 @@
   }
 
  private:
-  std::optional<Act> open_;
-  Act last_;
+  std::optional<Operation> open_;
+  Operation last_;
 };
 
-// Where a rig of leases plays: voters and would-be holders, and ways between them. Holders act on the ledger.
-class LeaseStage {
+// Voters, lease holders and the links between them, as processes or in virtual time. Holders run operations
+// on the ledger.
+class LeaseEnvironment {
  public:
-  virtual ~LeaseStage() = default;
-  virtual FleetHarness& rig() = 0;
+  virtual ~LeaseEnvironment() = default;
+  virtual FleetHarness& harness() = 0;
   virtual unsigned holders() const = 0;
   virtual void start_voter(unsigned v) = 0;
-  virtual void hold(unsigned h) = 0;
+  virtual void start_holder(unsigned h) = 0;
   virtual void kill_holder(unsigned h) = 0;
-  virtual void leave(unsigned h) = 0;                           // SIGTERM
-  virtual void stop(unsigned h, const Act& last, bool on) = 0;  // with what it runs
-  virtual void lose_promises(unsigned v) = 0;
-  // Tokens that stand as held in a holder's log, and at which.
-  virtual std::map<std::uint64_t, std::set<unsigned>> held() = 0;
+  virtual void release_holder(unsigned h) = 0;  // by SIGTERM
+  // Pauses or resumes a holder together with the command that it runs.
+  virtual void set_paused(unsigned h, const Operation& last, bool paused) = 0;
+  virtual void delete_storage(unsigned v) = 0;
+  // The tokens that the holders' logs report as held, each with its holders.
+  virtual std::map<std::uint64_t, std::set<unsigned>> acquired_tokens() = 0;
 };
 
-std::vector<std::string> voters() {
+std::vector<std::string> voter_names() {
   std::vector<std::string> out;
   for (unsigned v = 0; v < kVoters; ++v) out.push_back("n" + std::to_string(v));
   return out;
 }
 
-class Processes final : public LeaseStage, net::DatagramEvents {
+class LoopbackLeaseEnvironment final : public LeaseEnvironment, net::DatagramEvents {
  public:
-  Processes(Ledger& ledger, const std::vector<std::string>& program, std::string actor,
-            const std::string& folder, bool folders, std::uint64_t seed)
+  LoopbackLeaseEnvironment(Ledger& ledger, const std::vector<std::string>& program, std::string actor,
+                           const std::string& folder, bool voter_storage, std::uint64_t seed)
       : ledger_(ledger),
         actor_(std::move(actor)),
         folder_(folder),
-        folders_(folders),
-        stage_(program, folder, kVoters + kProcesses, 300ms, seed),
-        network_(stage_.network()) {
-    network_.open_datagrams(stage_.ledger_address());
+        voter_storage_(voter_storage),
+        harness_(program, folder, kVoters + kHolders, 300ms, seed),
+        network_(harness_.network()) {
+    network_.open_datagrams(harness_.ledger_address());
     network_.wait_datagram(*this);
-    for (const std::string& v : voters()) section_ += (section_.empty() ? "\"" : ", \"") + v + '"';
-    section_ = "[leases]\nvoters = [" + section_ + "]\nlength = \"2s\"\n";
-    stage_.set_operator_sections(section_);
-    ledger_.runs = [](int pid) { return runs(pid); };
+    for (const std::string& v : voter_names())
+      leases_section_ += (leases_section_.empty() ? "\"" : ", \"") + v + '"';
+    leases_section_ = "[leases]\nvoters = [" + leases_section_ + "]\nlength = \"2s\"\n";
+    harness_.set_operator_sections(leases_section_);
+    ledger_.is_running = [](int pid) { return is_running(pid); };
   }
-  ~Processes() override { network_.shut_down(); }
-  FleetHarness& rig() override { return stage_; }
-  unsigned holders() const override { return kProcesses; }
+  ~LoopbackLeaseEnvironment() override { network_.shut_down(); }
+  FleetHarness& harness() override { return harness_; }
+  unsigned holders() const override { return kHolders; }
   void start_voter(unsigned v) override {
-    if (folders_) {
-      std::filesystem::create_directories(promises_of(v));
-      stage_.set_operator_sections(section_ + "folder = \"" + promises_of(v) + "\"\n");
+    if (voter_storage_) {
+      std::filesystem::create_directories(storage_path(v));
+      harness_.set_operator_sections(leases_section_ + "folder = \"" + storage_path(v) + "\"\n");
     }
-    stage_.start({v, 0}, voters()[v], {{0, 0}, {1, 0}, {2, 0}});
+    harness_.start({v, 0}, voter_names()[v], {{0, 0}, {1, 0}, {2, 0}});
   }
-  void hold(unsigned h) override {
-    stage_.start_lease_holder(
-        {kVoters + h, 0}, kLease,
-        {actor_, "act", "--ledger", to_text(stage_.ledger_address()), "--as", std::to_string(h)}, kVoters);
+  void start_holder(unsigned h) override {
+    harness_.start_lease_holder(
+        {kVoters + h, 0}, kLeaseName,
+        {actor_, "act", "--ledger", to_text(harness_.ledger_address()), "--as", std::to_string(h)}, kVoters);
   }
-  void kill_holder(unsigned h) override { stage_.kill({kVoters + h, 0}); }
-  void leave(unsigned h) override { stage_.leave({kVoters + h, 0}); }
-  void stop(unsigned h, const Act& last, bool on) override {
-    stage_.freeze({kVoters + h, 0}, on);
-    ::kill(last.pid, on ? SIGSTOP : SIGCONT);
+  void kill_holder(unsigned h) override { harness_.kill({kVoters + h, 0}); }
+  void release_holder(unsigned h) override { harness_.leave({kVoters + h, 0}); }
+  void set_paused(unsigned h, const Operation& last, bool paused) override {
+    harness_.freeze({kVoters + h, 0}, paused);
+    ::kill(last.pid, paused ? SIGSTOP : SIGCONT);
   }
-  void lose_promises(unsigned v) override { std::filesystem::remove_all(promises_of(v)); }
-  std::map<std::uint64_t, std::set<unsigned>> held() override {
+  void delete_storage(unsigned v) override { std::filesystem::remove_all(storage_path(v)); }
+  std::map<std::uint64_t, std::set<unsigned>> acquired_tokens() override {
     std::map<std::uint64_t, std::set<unsigned>> out;
-    for (unsigned h = 0; h < kProcesses; ++h) {
-      std::ifstream in(stage_.log_path({kVoters + h, 0}));
+    for (unsigned h = 0; h < kHolders; ++h) {
+      std::ifstream in(harness_.log_path({kVoters + h, 0}));
       for (std::string line; std::getline(in, line);) {
         const std::size_t at = line.find(" token=");
         if (line.find("lease: held") == line.npos || at == line.npos) continue;
@@ -154,7 +160,7 @@
   }
 
  private:
-  std::string promises_of(unsigned v) const { return folder_ + "/promises-" + std::to_string(v); }
+  std::string storage_path(unsigned v) const { return folder_ + "/promises-" + std::to_string(v); }
   void datagram_pending() override {
     char bytes[128];
     for (;;) {
@@ -163,232 +169,251 @@
       if (got.status != net::IoStatus::done) continue;
       bytes[got.bytes] = 0;
       unsigned long long token = 0;
-      int as = 0, pid = 0;
+      int holder = 0, pid = 0;
       char what = 0;
-      if (std::sscanf(bytes, "%c %llu %d %d", &what, &token, &as, &pid) != 4) continue;
+      if (std::sscanf(bytes, "%c %llu %d %d", &what, &token, &holder, &pid) != 4) continue;
       network_.send_datagram(
-          got.from, (what == 'b' ? ledger_.begin({token, as, pid}) : ledger_.end(token, pid)) ? "ok" : "no");
+          got.from,
+          (what == 'b' ? ledger_.begin({token, holder, pid}) : ledger_.end(token, pid)) ? "ok" : "no");
     }
     network_.wait_datagram(*this);
   }
 
   Ledger& ledger_;
-  std::string actor_, folder_, section_;
-  bool folders_;
-  LoopbackHarness stage_;
+  std::string actor_, folder_, leases_section_;
+  bool voter_storage_;
+  LoopbackHarness harness_;
   net::KernelNetwork network_;
 };
 
-// The same code in virtual time: the nodes' peers, and holders that act themselves. Clocks of voters and
-// holders run at both ends of the bound.
-class Virtual final : public LeaseStage {
+// The same voter and holder code in virtual time, where holders run the operations themselves. The clocks of
+// voters and holders run at either end of the permitted drift.
+class VirtualLeaseEnvironment final : public LeaseEnvironment {
  public:
-  Virtual(Ledger& ledger, unsigned holders, std::uint64_t seed)
-      : ledger_(ledger), count_(holders), seed_(seed), stage_(kVoters + holders, 300ms, 1h, seed, nullptr) {
-    own_.leases = setup::LeasesSection{voters(), kLength, ""};
-    own_.fleet = setup::FleetSection{"lab", "", {}, {}, {}, 300ms, 1h, 4096};
-    for (unsigned v = 0; v < kVoters; ++v) own_.fleet->seeds.push_back(stage_.listen_address({v, 0}));
-    own_.fleet->address = own_.fleet->seeds.front();
-    stage_.enable_voting(*own_.leases);
-    for (unsigned n = 0; n < kVoters + count_; ++n)
-      stage_.set_clock_rate({n, 0},
-                            mix(seed + n) % 2 ? 1 - leases::kMaxClockDrift : 1 + leases::kMaxClockDrift);
-    ledger_.runs = [this](int pid) {
+  VirtualLeaseEnvironment(Ledger& ledger, unsigned holders, std::uint64_t seed)
+      : ledger_(ledger),
+        holder_count_(holders),
+        seed_(seed),
+        harness_(kVoters + holders, 300ms, 1h, seed, nullptr) {
+    operator_file_.leases = setup::LeasesSection{voter_names(), kLeaseDuration, ""};
+    operator_file_.fleet = setup::FleetSection{"lab", "", {}, {}, {}, 300ms, 1h, 4096};
+    for (unsigned v = 0; v < kVoters; ++v)
+      operator_file_.fleet->seeds.push_back(harness_.listen_address({v, 0}));
+    operator_file_.fleet->address = operator_file_.fleet->seeds.front();
+    harness_.enable_voting(*operator_file_.leases);
+    for (unsigned n = 0; n < kVoters + holder_count_; ++n)
+      harness_.set_clock_rate({n, 0},
+                              mix(seed + n) % 2 ? 1 - leases::kMaxClockDrift : 1 + leases::kMaxClockDrift);
+    ledger_.is_running = [this](int pid) {
       return std::any_of(holders_.begin(), holders_.end(),
                          [&](const auto& h) { return h.second->pid == pid; });
     };
   }
-  ~Virtual() override {
-    for (unsigned h = 0; h < count_; ++h) kill_holder(h);
+  ~VirtualLeaseEnvironment() override {
+    for (unsigned h = 0; h < holder_count_; ++h) kill_holder(h);
+  }
+  FleetHarness& harness() override { return harness_; }
+  unsigned holders() const override { return holder_count_; }
+  void start_voter(unsigned v) override {
+    harness_.start({v, 0}, voter_names()[v], {{0, 0}, {1, 0}, {2, 0}});
   }
-  FleetHarness& rig() override { return stage_; }
-  unsigned holders() const override { return count_; }
-  void start_voter(unsigned v) override { stage_.start({v, 0}, voters()[v], {{0, 0}, {1, 0}, {2, 0}}); }
-  void hold(unsigned h) override {
+  void start_holder(unsigned h) override {
     const NodeEndpoint at{kVoters + h, 0};
-    stage_.start_process(at);
-    holders_[h] = std::make_unique<One>(*this, h, ++pids_);
+    harness_.start_process(at);
+    holders_[h] = std::make_unique<HolderProcess>(*this, h, ++last_pid_);
     holders_[h]->holder.start();
   }
   void kill_holder(unsigned h) override {
     holders_.erase(h);
-    stage_.kill({kVoters + h, 0});
+    harness_.kill({kVoters + h, 0});
   }
-  void leave(unsigned h) override {
-    if (const auto it = holders_.find(h); it != holders_.end()) it->second->leave();
+  void release_holder(unsigned h) override {
+    if (const auto it = holders_.find(h); it != holders_.end()) it->second->release_when_idle();
   }
-  void stop(unsigned h, const Act&, bool on) override { stage_.freeze({kVoters + h, 0}, on); }
-  void lose_promises(unsigned) override {}
-  std::map<std::uint64_t, std::set<unsigned>> held() override { return held_; }
+  void set_paused(unsigned h, const Operation&, bool paused) override {
+    harness_.freeze({kVoters + h, 0}, paused);
+  }
+  void delete_storage(unsigned) override {}
+  std::map<std::uint64_t, std::set<unsigned>> acquired_tokens() override { return acquired_tokens_; }
 
  private:
-  struct One final : node::LeaseHolder::Events, net::TimerEvents {
-    One(Virtual& of, unsigned h, int pid)
-        : of(of),
+  struct HolderProcess final : node::LeaseHolder::Events, net::TimerEvents {
+    HolderProcess(VirtualLeaseEnvironment& owner, unsigned h, int pid)
+        : owner(owner),
           h(h),
           pid(pid),
-          timers(of.stage_.timers({kVoters + h, 0})),
-          holder(of.stage_.process({kVoters + h, 0}), timers, of.own_, kLease,
+          timers(owner.harness_.timers({kVoters + h, 0})),
+          holder(owner.harness_.process({kVoters + h, 0}), timers, owner.operator_file_, kLeaseName,
                  "h" + std::to_string(h) + '/' + std::to_string(pid),
-                 of.stage_.listen_address({kVoters + h, 0}), std::nullopt,
-                 mix(of.seed_ * 1024 + static_cast<std::uint64_t>(pid)), *this) {}
+                 owner.harness_.listen_address({kVoters + h, 0}), std::nullopt,
+                 mix(owner.seed_ * 1024 + static_cast<std::uint64_t>(pid)), *this) {}
     void lease_acquired(leases::Token t) override {
-      of.held_[t.value].insert(h);
+      owner.acquired_tokens_[t.value].insert(h);
       token = t.value;
-      if (!std::exchange(waked, true)) timers.schedule(1ms, *this, 0);
+      if (!std::exchange(timer_started, true)) timers.schedule(1ms, *this, 0);
     }
     void lease_lost(leases::Token, std::string_view) override { token = 0; }
     void lease_awaited(std::string_view) override {}
-    void leave() {
-      leaves = true;
-      if (acting == 0) holder.release();
+    void release_when_idle() {
+      releasing = true;
+      if (operation_token == 0) holder.release();
     }
     void timer_expired(std::uint64_t) override {
-      if (acting != 0) {
-        of.ledger_.end(std::exchange(acting, 0), pid);
-        if (leaves) return holder.release();
-        return timers.schedule(kActTakes / 6, *this, 0);
+      if (operation_token != 0) {
+        owner.ledger_.end(std::exchange(operation_token, 0), pid);
+        if (releasing) return holder.release();
+        return timers.schedule(kOperationDuration / 6, *this, 0);
       }
-      // Only where it fits into what is left, by a clock that may be fast.
-      if (token != 0 && !leaves && holder.time_left() > kActTakes + kActTakes / 50 &&
-          of.ledger_.begin({token, static_cast<int>(h), pid}))
-        acting = token;
-      timers.schedule(kActTakes, *this, 0);
+      // Begins only if the operation fits into the remaining time, by a clock that may be fast.
+      if (token != 0 && !releasing && holder.time_left() > kOperationDuration + kOperationDuration / 50 &&
+          owner.ledger_.begin({token, static_cast<int>(h), pid}))
+        operation_token = token;
+      timers.schedule(kOperationDuration, *this, 0);
     }
-    Virtual& of;
+    VirtualLeaseEnvironment& owner;
     unsigned h;
     int pid;
     net::TimerQueue& timers;
-    std::uint64_t token = 0, acting = 0;
-    bool waked = false, leaves = false;
+    std::uint64_t token = 0, operation_token = 0;
+    bool timer_started = false, releasing = false;
     node::LeaseHolder holder;
   };
 
   Ledger& ledger_;
-  unsigned count_;
+  unsigned holder_count_;
   std::uint64_t seed_;
-  setup::OperatorFile own_;
-  VirtualHarness stage_;
-  std::map<unsigned, std::unique_ptr<One>> holders_;
-  std::map<std::uint64_t, std::set<unsigned>> held_;
-  int pids_ = 0;
+  setup::OperatorFile operator_file_;
+  VirtualHarness harness_;
+  std::map<unsigned, std::unique_ptr<HolderProcess>> holders_;
+  std::map<std::uint64_t, std::set<unsigned>> acquired_tokens_;
+  int last_pid_ = 0;
 };
 
-class LeaseRig {
+class LeaseExperiment {
  public:
-  LeaseRig(std::uint64_t seed, std::string trouble, Ledger& ledger, LeaseStage& stage)
-      : stage_(stage), ledger_(ledger), chance_(static_cast<std::knuth_b::result_type>(mix(seed + 77) | 1)) {
-    out_.trouble = std::move(trouble);
-    ledger_.broken = [this](const std::string& what) {
-      if (out_.broken.size() < 10) out_.broken.push_back(what);
+  LeaseExperiment(std::uint64_t seed, std::string fault, Ledger& ledger, LeaseEnvironment& environment)
+      : environment_(environment),
+        ledger_(ledger),
+        rng_(static_cast<std::knuth_b::result_type>(mix(seed + 77) | 1)) {
+    result_.fault = std::move(fault);
+    ledger_.report_violation = [this](const std::string& what) {
+      if (result_.violations.size() < 10) result_.violations.push_back(what);
     };
-    ledger_.acted = [this] {
-      const Micros now = stage_.rig().now();
-      if (measures_) out_.gap = std::max(out_.gap, seconds(now - acted_at_) * 1e3);
-      acted_at_ = now;
+    ledger_.on_operation = [this] {
+      const Micros now = environment_.harness().now();
+      if (measuring_)
+        result_.longest_gap_ms = std::max(result_.longest_gap_ms, seconds(now - last_operation_at_) * 1e3);
+      last_operation_at_ = now;
     };
   }
 
-  LeaseRun play() {
-    std::uint64_t asked = 0;
-    stage_.rig().on_sent = [&asked](NodeEndpoint from, std::size_t) { asked += from.node >= kVoters; };
-    for (unsigned v = 0; v < kVoters; ++v) stage_.start_voter(v);
-    run(3s);
-    for (unsigned h = 0; h < stage_.holders(); ++h) stage_.hold(h);
-    // Somebody acts before anything breaks.
-    for (const Micros until = stage_.rig().now() + 8s; ledger_.acts == 0 && stage_.rig().now() < until;)
-      run(50ms);
-    if (ledger_.acts == 0) ledger_.broken("rule=lease-nobody: nobody has begun to act");
-    run(600ms + Micros{static_cast<std::int64_t>(chance_() % 600'000)});
-    // While nothing is amiss but that all want it.
-    const std::uint64_t before_rest = asked;
-    run(2s);
-    out_.asked = static_cast<double>(asked - before_rest) / 2 / kVoters;
-    measures_ = true;
-    trouble(out_.trouble);
-    const std::uint64_t before = ledger_.acts;
-    run(kLength + 2s);
-    if (ledger_.acts == before)
-      ledger_.broken("rule=lease-nobody: nobody acts within a lease and 2 s of the trouble's end");
-    out_.acts = ledger_.acts;
-    out_.refused = ledger_.refused;
-    logs();
-    stage_.rig().on_sent = nullptr;
-    return std::move(out_);
+  LeaseRun run_experiment() {
+    std::uint64_t requests_sent = 0;
+    environment_.harness().on_sent = [&requests_sent](NodeEndpoint from, std::size_t) {
+      requests_sent += from.node >= kVoters;
+    };
+    for (unsigned v = 0; v < kVoters; ++v) environment_.start_voter(v);
+    run_for(3s);
+    for (unsigned h = 0; h < environment_.holders(); ++h) environment_.start_holder(h);
+    // Waits for a first operation before any fault.
+    for (const Micros until = environment_.harness().now() + 8s;
+         ledger_.operations == 0 && environment_.harness().now() < until;)
+      run_for(50ms);
+    if (ledger_.operations == 0) ledger_.report_violation("rule=lease-nobody: nobody has begun to act");
+    run_for(600ms + Micros{static_cast<std::int64_t>(rng_() % 600'000)});
+    // Measures the request rate without faults, while all holders contend.
+    const std::uint64_t requests_before = requests_sent;
+    run_for(2s);
+    result_.requests_per_second = static_cast<double>(requests_sent - requests_before) / 2 / kVoters;
+    measuring_ = true;
+    inject_fault(result_.fault);
+    const std::uint64_t operations_before = ledger_.operations;
+    run_for(kLeaseDuration + 2s);
+    if (ledger_.operations == operations_before)
+      ledger_.report_violation("rule=lease-nobody: nobody acts within a lease and 2 s of the trouble's end");
+    result_.operations = ledger_.operations;
+    result_.refused = ledger_.refused;
+    check_logs();
+    environment_.harness().on_sent = nullptr;
+    return std::move(result_);
   }
 
  private:
-  void run(Micros in) { stage_.rig().run_until(stage_.rig().now() + in); }
-  unsigned holder() const { return static_cast<unsigned>(std::max(ledger_.last().as, 0)); }
-  // Of all ways between the holder and the voters.
-  void holders_ways(unsigned h, bool to, bool from, DatagramFaults post) {
+  void run_for(Micros duration) { environment_.harness().run_until(environment_.harness().now() + duration); }
+  unsigned last_holder() const { return static_cast<unsigned>(std::max(ledger_.last().holder, 0)); }
+  // Sets the faults of the links between the holder and all voters, in the directions named.
+  void set_holder_links(unsigned h, bool to_holder, bool from_holder, DatagramFaults faults) {
     for (unsigned v = 0; v < kVoters; ++v) {
-      if (to) stage_.rig().link(v, kVoters + h) = post;
-      if (from) stage_.rig().link(kVoters + h, v) = post;
+      if (to_holder) environment_.harness().link(v, kVoters + h) = faults;
+      if (from_holder) environment_.harness().link(kVoters + h, v) = faults;
     }
   }
-  void all_ways(DatagramFaults post) {
-    for (unsigned a = 0; a < kVoters + stage_.holders(); ++a)
-      for (unsigned b = 0; b < kVoters + stage_.holders(); ++b) stage_.rig().link(a, b) = post;
+  void set_all_links(DatagramFaults faults) {
+    for (unsigned a = 0; a < kVoters + environment_.holders(); ++a)
+      for (unsigned b = 0; b < kVoters + environment_.holders(); ++b)
+        environment_.harness().link(a, b) = faults;
   }
 
-  void trouble(const std::string& kind) {
-    const unsigned h = holder();
+  void inject_fault(const std::string& kind) {
+    const unsigned h = last_holder();
     DatagramFaults cut;
     cut.blocked = true;
     if (kind == "killed" || kind == "leaves") {
-      kind == "killed" ? stage_.kill_holder(h) : stage_.leave(h);
-      run(4s);
-      stage_.hold(h);
+      kind == "killed" ? environment_.kill_holder(h) : environment_.release_holder(h);
+      run_for(4s);
+      environment_.start_holder(h);
     } else if (kind == "fails-returns") {
       for (int i = 0; i < 4; ++i) {
-        const unsigned now = holder();
-        stage_.kill_holder(now);
-        run(1500ms);
-        stage_.hold(now);
-        run(1500ms);
+        const unsigned now = last_holder();
+        environment_.kill_holder(now);
+        run_for(1500ms);
+        environment_.start_holder(now);
+        run_for(1500ms);
       }
     } else if (kind.starts_with("stopped")) {
-      // The holder and what it runs, in the middle of whatever they do, for less or more than the lease.
+      // Pauses the holder and its command at an arbitrary point, for less or more than the lease duration.
       const Micros lasts = kind == "stopped-short" ? 800ms : kind == "stopped-lease" ? 2s : 5s;
-      const Act last = ledger_.last();
-      ledger_.stopped.insert(static_cast<int>(h));
-      stage_.stop(h, last, true);
-      run(lasts);
-      stage_.stop(h, last, false);
+      const Operation last = ledger_.last();
+      ledger_.may_be_stale.insert(static_cast<int>(h));
+      environment_.set_paused(h, last, true);
+      run_for(lasts);
+      environment_.set_paused(h, last, false);
     } else if (kind == "cut" || kind == "cut-in" || kind == "cut-out") {
-      holders_ways(h, kind != "cut-out", kind != "cut-in", cut);
-      run(6s);
-      holders_ways(h, true, true, DatagramFaults());
+      set_holder_links(h, kind != "cut-out", kind != "cut-in", cut);
+      run_for(6s);
+      set_holder_links(h, true, true, DatagramFaults());
     } else if (kind == "voters-restart" || kind == "majority-gone") {
       const unsigned n = kind == "voters-restart" ? kVoters : kVoters / 2 + 1;
-      for (unsigned v = 0; v < n; ++v) stage_.rig().kill({v, 0});
-      if (kind == "majority-gone") run(6s);
-      for (unsigned v = 0; v < n; ++v) stage_.start_voter(v);
-      run(kLength * 2);  // they answer nobody for the longest lease
+      for (unsigned v = 0; v < n; ++v) environment_.harness().kill({v, 0});
+      if (kind == "majority-gone") run_for(6s);
+      for (unsigned v = 0; v < n; ++v) environment_.start_voter(v);
+      run_for(kLeaseDuration * 2);  // restarted voters stay silent for the longest lease duration
     } else if (kind.starts_with("folders")) {
-      // All at once, with what they had kept: nobody has to wait; or some with nothing any more.
-      for (unsigned v = 0; v < kVoters; ++v) stage_.rig().kill({v, 0});
+      // Restarts all voters at once. With their storage none has to wait; with folders-lost some have
+      // lost it.
+      for (unsigned v = 0; v < kVoters; ++v) environment_.harness().kill({v, 0});
       if (kind == "folders-lost")
-        for (unsigned v = 0; v < kVoters; v += 2) stage_.lose_promises(v);
-      for (unsigned v = 0; v < kVoters; ++v) stage_.start_voter(v);
-      run(kLength * 2);
+        for (unsigned v = 0; v < kVoters; v += 2) environment_.delete_storage(v);
+      for (unsigned v = 0; v < kVoters; ++v) environment_.start_voter(v);
+      run_for(kLeaseDuration * 2);
     } else if (kind == "minority-gone") {
-      for (unsigned v = 0; v < kVoters / 2; ++v) stage_.rig().kill({v, 0});
-      run(5s);
-      for (unsigned v = 0; v < kVoters / 2; ++v) stage_.start_voter(v);
+      for (unsigned v = 0; v < kVoters / 2; ++v) environment_.harness().kill({v, 0});
+      run_for(5s);
+      for (unsigned v = 0; v < kVoters / 2; ++v) environment_.start_voter(v);
     } else if (kind == "fifth-flaps") {
-      // Two voters and half of the holders on each side, the fifth to and fro each second.
+      // A partition with two voters and half of the holders on each side; the fifth voter changes sides every
+      // second.
       const auto side = [](unsigned n, bool left) {
         return n == kVoters - 1 ? left : n < kVoters ? n % 2 == 0 : (n - kVoters) % 2 == 0;
       };
       for (int i = 0; i < 8; ++i) {
-        for (unsigned a = 0; a < kVoters + stage_.holders(); ++a)
-          for (unsigned b = 0; b < kVoters + stage_.holders(); ++b)
-            stage_.rig().link(a, b) = side(a, i % 2 == 0) == side(b, i % 2 == 0) ? DatagramFaults() : cut;
-        run(1s);
+        for (unsigned a = 0; a < kVoters + environment_.holders(); ++a)
+          for (unsigned b = 0; b < kVoters + environment_.holders(); ++b)
+            environment_.harness().link(a, b) =
+                side(a, i % 2 == 0) == side(b, i % 2 == 0) ? DatagramFaults() : cut;
+        run_for(1s);
       }
-      all_ways(DatagramFaults());
+      set_all_links(DatagramFaults());
     } else if (kind == "loss" || kind == "late") {
       DatagramFaults bad;
       if (kind == "loss") {
@@ -398,35 +423,35 @@
         bad.replay_delay = 3s;
         bad.jitter = 300ms;
       }
-      all_ways(bad);
-      run(8s);
-      all_ways(DatagramFaults());
+      set_all_links(bad);
+      run_for(8s);
+      set_all_links(DatagramFaults());
     }
   }
 
-  // What was acted under stands as held in just one holder's log.
-  void logs() {
-    const auto held = stage_.held();
-    for (const auto& [token, who] : held)
-      if (who.size() != 1) ledger_.broken("rule=lease-log: two processes log one token as held");
+  // Each token that an operation used must be logged as held by exactly one holder.
+  void check_logs() {
+    const auto acquired_tokens = environment_.acquired_tokens();
+    for (const auto& [token, who] : acquired_tokens)
+      if (who.size() != 1) ledger_.report_violation("rule=lease-log: two processes log one token as held");
     for (const std::uint64_t token : ledger_.tokens)
-      if (!held.contains(token))
-        ledger_.broken("rule=lease-log: acts under a token that nobody logs as held");
+      if (!acquired_tokens.contains(token))
+        ledger_.report_violation("rule=lease-log: acts under a token that nobody logs as held");
   }
 
-  LeaseStage& stage_;
+  LeaseEnvironment& environment_;
   Ledger& ledger_;
-  std::knuth_b chance_;
-  LeaseRun out_;
-  Micros acted_at_{0};
-  bool measures_ = false;  // from the trouble's begin
+  std::knuth_b rng_;
+  LeaseRun result_;
+  Micros last_operation_at_{0};
+  bool measuring_ = false;  // since the injection of the fault
 };
 
-volatile std::sig_atomic_t told_to_end = 0;
+volatile std::sig_atomic_t stop_requested = 0;
 
 }  // namespace
 
-const std::vector<std::string>& lease_troubles() {
+const std::vector<std::string>& lease_faults() {
   static const std::vector<std::string> all = {
       "killed", "leaves",  "stopped-short",  "stopped-lease", "stopped-long",  "cut",
       "cut-in", "cut-out", "voters-restart", "majority-gone", "minority-gone", "fifth-flaps",
@@ -434,62 +459,63 @@
   return all;
 }
 
-std::string lease_trouble(std::uint64_t seed, const std::string& only) {
-  const auto& all = lease_troubles();
+std::string lease_fault(std::uint64_t seed, const std::string& only) {
+  const auto& all = lease_faults();
   return only.empty() ? all[seed % all.size()] : only;
 }
 
 LeaseRun run_leases(std::uint64_t seed, const std::string& only, const std::vector<std::string>& program,
                     const std::string& actor, const std::string& folder) {
-  const std::string trouble = lease_trouble(seed, only);
+  const std::string fault = lease_fault(seed, only);
   Ledger ledger;
-  Processes stage(ledger, program, actor, folder, trouble.starts_with("folders"), seed);
-  return LeaseRig(seed, trouble, ledger, stage).play();
+  LoopbackLeaseEnvironment environment(ledger, program, actor, folder, fault.starts_with("folders"), seed);
+  return LeaseExperiment(seed, fault, ledger, environment).run_experiment();
 }
 
 LeaseRun run_leases_virtual(std::uint64_t seed, const std::string& only, unsigned holders) {
   Ledger ledger;
-  Virtual stage(ledger, holders, seed);
-  return LeaseRig(seed, lease_trouble(seed, only), ledger, stage).play();
+  VirtualLeaseEnvironment environment(ledger, holders, seed);
+  return LeaseExperiment(seed, lease_fault(seed, only), ledger, environment).run_experiment();
 }
 
-int act_on_ledger(const std::string& ledger, const std::string& as) {
+int run_ledger_operations(const std::string& ledger, const std::string& holder) {
   const char* const token = std::getenv("FLINTWEIR_TOKEN");
-  const auto at = parse_address(ledger);
-  if (!token || !at) return 2;
-  std::signal(SIGTERM, [](int) { told_to_end = 1; });
-  struct Answer final : net::DatagramEvents {
+  const auto ledger_address = parse_address(ledger);
+  if (!token || !ledger_address) return 2;
+  std::signal(SIGTERM, [](int) { stop_requested = 1; });
+  struct ReplyReceiver final : net::DatagramEvents {
     void datagram_pending() override {
       char bytes[16];
       const net::ReceiveResult got = network.receive(bytes, sizeof bytes);
-      if (got.status == net::IoStatus::done) said = std::string(bytes, got.bytes);
+      if (got.status == net::IoStatus::done) reply = std::string(bytes, got.bytes);
       network.wait_datagram(*this);
       network.stop();
     }
     net::KernelNetwork network;
-    std::string said;
-  } answer;
-  Address here = *at;
-  here.port = 0;
-  answer.network.open_datagrams(here);
-  answer.network.wait_datagram(answer);
-  const auto say = [&](const char* what) {
-    answer.said.clear();
-    answer.network.send_datagram(*at,
-                                 std::string(what) + ' ' + token + ' ' + as + ' ' + std::to_string(getpid()));
-    for (const Micros until = answer.network.now() + 5s; answer.said.empty() && answer.network.now() < until;)
-      answer.network.run_for(until - answer.network.now());
-    return answer.said == "ok";
+    std::string reply;
+  } receiver;
+  Address local = *ledger_address;
+  local.port = 0;
+  receiver.network.open_datagrams(local);
+  receiver.network.wait_datagram(receiver);
+  const auto send_and_wait = [&](const char* operation) {
+    receiver.reply.clear();
+    receiver.network.send_datagram(*ledger_address, std::string(operation) + ' ' + token + ' ' + holder +
+                                                        ' ' + std::to_string(getpid()));
+    for (const Micros until = receiver.network.now() + 5s;
+         receiver.reply.empty() && receiver.network.now() < until;)
+      receiver.network.run_for(until - receiver.network.now());
+    return receiver.reply == "ok";
   };
-  const auto rest = [&](Micros in) {
-    for (const Micros until = answer.network.now() + in; answer.network.now() < until;)
-      answer.network.run_for(until - answer.network.now());
+  const auto wait_for = [&](Micros duration) {
+    for (const Micros until = receiver.network.now() + duration; receiver.network.now() < until;)
+      receiver.network.run_for(until - receiver.network.now());
   };
-  while (!told_to_end) {
-    if (!say("b")) return 9;
-    rest(kActTakes);
-    if (!say("e")) return 9;
-    rest(kActTakes / 6);
+  while (!stop_requested) {
+    if (!send_and_wait("b")) return 9;
+    wait_for(kOperationDuration);
+    if (!send_and_wait("e")) return 9;
+    wait_for(kOperationDuration / 6);
   }
   return 0;
 }
--- a/src/lab/leases/lease_rig.h
+++ b/src/lab/leases/lease_rig.h
@@ -1,6 +1,7 @@
-// Several processes of the program that hold one lease in turn: five nodes as voters and four `lease hold`,
-// each of which acts on a ledger while it holds; troubles between them by the seed. Judged by the ledger
-// alone, which writes down begin, end and token of each act by the machine's one clock.
+// Fault-injection experiment on leases: five nodes vote, and four `lease hold` processes contend for one
+// lease. Whoever holds it runs operations on a shared ledger, while a fault drawn from the seed is injected.
+// The verdict rests on the ledger alone, which records the begin, the end and the token of each operation by
+// the one clock of the machine.
 #pragma once
 
 #include <cstdint>
@@ -9,25 +10,29 @@
 
 namespace flintweir::lab {
 
-const std::vector<std::string>& lease_troubles();  // one of these, or none, is `only` below
+// The faults that `only` may name below; an empty `only` draws one from the seed.
+const std::vector<std::string>& lease_faults();
 
 struct LeaseRun {
-  std::string trouble;
-  std::vector<std::string> broken;  // rule=...
-  std::uint64_t acts = 0, refused = 0;
-  // Milliseconds at most between the begins of two acts, from the trouble's begin to the end.
-  double gap = 0;
-  double asked = 0;  // datagrams a second at each voter, before the trouble
+  std::string fault;
+  std::vector<std::string> violations;  // rule=...
+  std::uint64_t operations = 0, refused = 0;
+  // Longest time between the begins of two successive operations, from the injection of the fault to the end.
+  double longest_gap_ms = 0;
+  double requests_per_second = 0;  // request datagrams at each voter, before the fault
 };
 
-// `actor`: the lab's own program. Logs go to `folder`.
+// Runs processes of `program` on loopback in real time. `actor` is the path of the lab's own executable,
+// which each holder starts to run operations. Logs go to `folder`.
 LeaseRun run_leases(std::uint64_t seed, const std::string& only, const std::vector<std::string>& program,
                     const std::string& actor, const std::string& folder);
 
-// In virtual time; there the two troubles of folders are as if there were none.
+// Runs the same code in virtual time, where the two faults of storage folders (folders-kept, folders-lost)
+// only restart the voters, which keep nothing.
 LeaseRun run_leases_virtual(std::uint64_t seed, const std::string& only, unsigned holders = 4);
 
-// What a holder runs: acts until it is told to end.
-int act_on_ledger(const std::string& ledger, const std::string& as);
+// The command that a lease holder runs: performs operations on the ledger at that address until SIGTERM.
+// Returns the exit status: 0 after SIGTERM, 2 on bad arguments, 9 when the ledger refuses or does not answer.
+int run_ledger_operations(const std::string& ledger, const std::string& holder);
 
 }  // namespace flintweir::lab
--- a/src/lab/leases/lease_search.h
+++ b/src/lab/leases/lease_search.h
@@ -14,8 +14,7 @@
 struct LeaseSearchOptions {
   unsigned voters = 3, candidates = 2;
   bool voter_storage = false;  // voters keep their promises across restarts
-  bool starts_held =
-      false;  // starts with the first candidate holding the lease, otherwise before any request
+  bool starts_held = false;    // the first candidate holds the lease at the start; else nothing was requested
   std::uint64_t max_states = 300'000;
   unsigned max_restarts = 0, max_duplicates = 0;  // upper bounds in one interleaving
   bool allow_release = false;                     // a holder may release the lease and acquire it again
--- a/tests/leases_test.cpp
+++ b/tests/leases_test.cpp
@@ -198,9 +198,9 @@
   std::uint64_t acts = 0;
   for (std::uint64_t seed = 1; seed <= FLINTWEIR_LEASE_STATES / 100; ++seed) {
     const lab::LeaseRun run = lab::run_leases_virtual(seed, "");
-    acts += run.acts;
-    for (const std::string& b : run.broken)
-      ADD_FAILURE() << "seed " << seed << ", " << run.trouble << ": " << b;
+    acts += run.operations;
+    for (const std::string& b : run.violations)
+      ADD_FAILURE() << "seed " << seed << ", " << run.fault << ": " << b;
   }
   EXPECT_GT(acts, FLINTWEIR_LEASE_STATES / 100 * 50);
 }
@@ -228,7 +228,7 @@
 
 // Five voters and four clients with one kind of fault at a time; eight setups run in parallel.
 TEST(LeaseProcesses, NeverRunTwoOperationsAtOnce) {
-  const auto& kinds = lab::lease_troubles();
+  const auto& kinds = lab::lease_faults();
   std::atomic<std::size_t> next{0};
   std::mutex mutex;
   const auto folder =
@@ -240,8 +240,8 @@
       const lab::LeaseRun run =
           lab::run_leases(5 + i, kinds[i], {FLINTWEIR_PROGRAM}, FLINTWEIR_LAB_TOOL, case_folder.string());
       const std::lock_guard lock(mutex);
-      for (const std::string& b : run.broken) ADD_FAILURE() << kinds[i] << ": " << b;
-      EXPECT_GT(run.acts, 20u) << kinds[i];
+      for (const std::string& b : run.violations) ADD_FAILURE() << kinds[i] << ": " << b;
+      EXPECT_GT(run.operations, 20u) << kinds[i];
     }
   };
   std::vector<std::thread> threads;
