--- a/apps/flintweir_lab.cpp
+++ b/apps/flintweir_lab.cpp
@@ -1,4 +1,4 @@
-// The lab's command line: experiments, their runs, comparisons and reports.
+// Command line of the lab: lists and runs experiments, compares builds and writes reports.
 #include <sys/stat.h>
 #include <unistd.h>
 
@@ -52,11 +52,11 @@
 
 Experiment read(const std::string& file, const std::string& variant) {
   if (file.empty()) return Experiment::from_text(kBuiltinExperiment, "built-in day", variant);
-  if (!fs::exists(file)) throw InputError(file + ":0: file: is not there");
+  if (!fs::exists(file)) throw InputError(file + ":0: file: does not exist");
   return Experiment::from_file(file, variant);
 }
 
-// Where the program lies: beside this one, unless it is named.
+// The flintweir command: the words of `given`, or else the executable in this program's directory.
 std::vector<std::string> program_of(const std::string& given) {
   if (given.empty()) return {(fs::read_symlink("/proc/self/exe").parent_path() / "flintweir").string()};
   std::istringstream words(given);
@@ -86,9 +86,9 @@
 struct RunWays {
   unsigned jobs = 1;
   bool real = false, until_broken = false, keep_logs = false;
-  unsigned holders = 4;  // that want one lease, in virtual time
+  unsigned holders = 4;  // candidates for one lease, in virtual time
   std::optional<BaselineProtocol>
-      plain;  // an experiment on the fleet's view: how nodes know each other instead
+      plain;  // membership experiment: a baseline protocol that replaces the node's own
   std::vector<std::string> program;
   fs::path out;
 };
@@ -150,15 +150,15 @@
 
 void print_broken(const RunSet& set, const std::string& file) {
   std::size_t shown = 0;
-  for (const RunSet::Broken& b : set.first_broken) {
+  for (const RunSet::ListedViolation& b : set.first_violations) {
     if (++shown > 10) break;
     std::printf("broken: rule=%s seed=%llu at=%.3fs session=%s: %s\n", b.rule.c_str(),
                 static_cast<unsigned long long>(b.seed), b.at, b.session.c_str(), b.what.c_str());
   }
   if (!set.failed().empty()) std::printf("failed: %s\n", set.failed().c_str());
-  if (!set.first_broken.empty())
+  if (!set.first_violations.empty())
     std::printf("again: flintweir-lab run %s --seeds %llu --alone --logs --out DIR\n", file.c_str(),
-                static_cast<unsigned long long>(set.first_broken.front().seed));
+                static_cast<unsigned long long>(set.first_violations.front().seed));
 }
 
 std::string spread_of(std::vector<double> values, const char* unit) {
@@ -170,7 +170,7 @@
   return out;
 }
 
-// An experiment on the fleet's own view: its rules and figures, a line each.
+// Runs a membership experiment and prints its rules and figures, one per line.
 int run_fleet(const std::string& file, const std::string& variant, Seeds seeds, const RunWays& ways,
               const std::string& only) {
   const MembershipPlan plan = MembershipPlan::from_file(file, variant);
@@ -310,22 +310,22 @@
           "hosts=%u sessions=%u: %.1f us a placement, %.0f us a second by itself, %.0f KiB (%.2f a session), "
           "%.2f hosts a group, "
           "largest on %u, most on a host %.2f of the mean, %u moved by its death\n",
-          s.hosts, s.sessions, s.placement_us, s.beat_us, s.memory_kib, s.memory_kib / n, s.copies,
-          s.largest_hosts, s.most_load, s.moved);
+          s.hosts, s.sessions, s.placement_us, s.idle_us_per_second, s.memory_kib, s.memory_kib / n,
+          s.hosts_per_group, s.largest_hosts, s.max_load_ratio, s.moved);
       std::fflush(stdout);
     }
   for (const unsigned h : hosts)
     for (const double rate : {1.0, 5.0, 20.0, 90.0})
       std::printf("hosts=%u sessions a second=%.0f: %.1f probes a second at a price of 0.002\n", h, rate,
-                  probes_a_second(h, rate, 0.002, 7));
+                  probes_per_second(h, rate, 0.002, 7));
   return 0;
 }
 
-// Prints the tables, or with a page says whether it holds just these.
+// Prints the capacity tables, or checks that the given page contains exactly these.
 int capacity(const std::string& slopes, const std::string& size, const std::string& page) {
   const std::string tables = Capacity(slopes, size).tables();
   if (page.empty()) return std::fputs(tables.c_str(), stdout), 0;
-  if (page_agrees(page, tables))
+  if (page_matches(page, tables))
     return std::printf("%s agrees with %s and %s\n", page.c_str(), slopes.c_str(), size.c_str()), 0;
   std::fprintf(stderr, "flintweir-lab: %s: its tables are not those of %s and %s\n", page.c_str(),
                slopes.c_str(), size.c_str());
@@ -386,7 +386,7 @@
 int leases(Seeds seeds, const RunWays& ways, const std::string& only) {
   const auto& kinds = lease_faults();
   if (!only.empty() && std::find(kinds.begin(), kinds.end(), only) == kinds.end())
-    throw InputError("leases: there is no trouble '" + only + "'");
+    throw InputError("leases: unknown trouble '" + only + "'");
   std::uint64_t operations = 0, refused = 0, broken = 0, runs = 0;
   double requests_per_second = 0;
   std::map<std::string, std::vector<double>> gaps_by_fault;
@@ -519,7 +519,7 @@
         "core\n\n",
         e.name.c_str(), e.about.c_str(), static_cast<unsigned long long>(sets[0].runs), sets[0].lasts,
         static_cast<unsigned long long>(sets[0].checks()), sets[0].hash().c_str(),
-        sets[0].virtual_seconds() / std::max(sets[0].took(), 1e-9));
+        sets[0].virtual_seconds() / std::max(sets[0].wall_seconds(), 1e-9));
     print_table(sets);
     print_broken(sets[0], file);
   }
@@ -532,12 +532,12 @@
 
 std::vector<RunSet> sets_of(const nlohmann::json& json) {
   std::vector<RunSet> out;
-  if (!json.is_array()) return {RunSet::of_json(json)};
-  for (const auto& j : json) out.push_back(RunSet::of_json(j));
+  if (!json.is_array()) return {RunSet::from_json(json)};
+  for (const auto& j : json) out.push_back(RunSet::from_json(j));
   return out;
 }
 
-// The same seeds with an earlier build of this program.
+// Runs the same seeds with an earlier build of this program.
 RunSet run_program(const std::string& program, const std::string& file, Seeds seeds, unsigned jobs) {
   const std::string command = "'" + program + "' run '" + file + "' --alone --json --jobs " +
                               std::to_string(jobs) + " --seeds " + std::to_string(seeds.first) + ".." +
@@ -551,7 +551,7 @@
   try {
     return sets_of(nlohmann::json::parse(text)).at(0);
   } catch (const std::exception&) {
-    throw InputError("--base: '" + program + "' does not print results of this form");
+    throw InputError("--base: '" + program + "' does not print results in the expected format");
   }
 }
 
@@ -561,7 +561,8 @@
   ways.jobs = jobs;
   const Experiment e = read(file, variant);
   const bool program = base.find('/') != base.npos;
-  if (program && access(base.c_str(), X_OK) != 0) throw InputError("--base: '" + base + "' is no program");
+  if (program && access(base.c_str(), X_OK) != 0)
+    throw InputError("--base: '" + base + "' is not an executable program");
   const RunSet before = program ? run_program(base, file, seeds, jobs)
                                 : run_set(read(file, base == "file" ? "" : base), base, seeds, ways);
   const RunSet now = run_set(e, variant.empty() ? "file" : variant, seeds, ways);
@@ -576,7 +577,7 @@
       mean_b += b[i] / static_cast<double>(n);
     }
     mean = mean_b - mean_a;
-    // The same seeds on both sides: what is left is the spread of their differences.
+    // Pairs the results by seed, so that only the spread of their differences remains.
     for (std::size_t i = 0; i < n; ++i) square += (b[i] - a[i] - mean) * (b[i] - a[i] - mean);
     const double noise = n > 1 ? std::sqrt(square / static_cast<double>(n - 1) / static_cast<double>(n)) : 0;
     std::printf("%-14s %12.4f %12.4f %+12.4f %10.4f%s\n", name.c_str(), mean_a, mean_b, mean, noise,
@@ -610,7 +611,7 @@
 
 int report(const fs::path& folder) {
   std::vector<fs::path> files;
-  if (!fs::is_directory(folder)) throw InputError(folder.string() + ":0: folder: is not there");
+  if (!fs::is_directory(folder)) throw InputError(folder.string() + ":0: folder: does not exist");
   for (const auto& f : fs::directory_iterator(folder))
     if (f.path().extension() == ".json") files.push_back(f.path());
   std::sort(files.begin(), files.end());
@@ -808,7 +809,7 @@
     if (*groups_command) return scale_groups(group_hosts, group_sessions, groups, group_nodes);
     if (*changes_command) {
       if (ways.real) ways.program = program_of(program);
-      // A large fleet takes longer to know itself.
+      // A large fleet needs longer until every node has the complete view.
       change_plan.join_time =
           std::max<flintweir::Micros>(change_plan.join_time, change_plan.nodes * flintweir::Micros{20'000});
       return changes(seeds_of(seeds), ways, change_plan, only);
--- a/src/lab/fleet/node_scaling.cpp
+++ b/src/lab/fleet/node_scaling.cpp
@@ -250,7 +250,7 @@
 
 void set_ms(double (&out)[3], const Histogram& delays, double a, double b, double c) {
   const double quantiles[] = {a, b, c};
-  for (std::size_t i = 0; i < 3; ++i) out[i] = seconds(delays.at(quantiles[i])) * 1e3;
+  for (std::size_t i = 0; i < 3; ++i) out[i] = seconds(delays.quantile(quantiles[i])) * 1e3;
 }
 
 std::string node_config(const char* host_ip, const char* ip) {
--- a/src/lab/reports/event_log.cpp
+++ b/src/lab/reports/event_log.cpp
@@ -4,7 +4,7 @@
 
 namespace flintweir::lab {
 
-void EventLog::add(std::string_view line) {
+void EventLog::append(std::string_view line) {
   hash_ = XXH3_64bits_withSeed(line.data(), line.size(), hash_);
   ++lines_;
   if (kept_) text_ += line;
--- a/src/lab/reports/meter.cpp
+++ b/src/lab/reports/meter.cpp
@@ -12,7 +12,7 @@
 }
 
 std::optional<double> figure(const Tally& t, const std::string& name) {
-  const auto ms = [&](double share) { return static_cast<double>(t.to_up.at(share).count()) / 1000; };
+  const auto ms = [&](double share) { return static_cast<double>(t.to_up.quantile(share).count()) / 1000; };
   if (name == "service") return t.service();
   if (name == "sessions") return t.sessions;
   if (name == "accepted") return t.accepted;
@@ -26,7 +26,7 @@
   if (name == "up_p50_ms") return ms(0.5);
   if (name == "up_p99_ms") return ms(0.99);
   if (name == "up_p999_ms") return ms(0.999);
-  // Of a host while it is cold, as a share of what a warm one carries.
+  // Mean load of a cold host, as a share of a warm host's load.
   if (name == "cold_fill") return t.cold_seconds > 0 ? t.cold_load / t.cold_seconds : 0;
   return std::nullopt;
 }
--- a/src/lab/reports/report.cpp
+++ b/src/lab/reports/report.cpp
@@ -37,7 +37,7 @@
   return out;
 }
 
-// A round step so that an axis has about so many marks.
+// The distance of axis ticks: 1, 2 or 5 times a power of ten, for about `marks` ticks.
 double step_for(double span, int marks) {
   if (!(span > 0)) return 1;
   const double raw = span / marks, scale = std::pow(10, std::floor(std::log10(raw)));
@@ -50,7 +50,7 @@
 struct Line {
   std::string name;
   std::string colour;
-  std::vector<double> values;  // by second; below zero: a gap
+  std::vector<double> values;  // by second; negative: a gap in the line
   double width = 1.8, opacity = 1;
 };
 
@@ -121,7 +121,7 @@
   return out;
 }
 
-// Time to UP by share of the sessions, on a scale of powers of ten.
+// Time to UP by share of the sessions, on a logarithmic scale.
 std::string percentiles(const std::vector<const RunSet*>& sets) {
   constexpr double kHeight = 240;
   double least = 1e9, most = 1;
@@ -228,14 +228,14 @@
   for (const RunSet* s : sets) {
     if (!s->failed().empty())
       out += "<p class=\"bad\">" + escaped(s->title) + ": " + escaped(s->failed()) + "</p>";
-    if (s->first_broken.empty()) continue;
+    if (s->first_violations.empty()) continue;
     out +=
         "<details" + std::string(s == &main ? " open" : "") +
         "><summary class=\"bad\">Rules broken: " + escaped(s->title) +
         "</summary><div "
         "class=\"wide\"><table><thead><tr><th>seed</th><th>at</th><th>rule</th><th>session</th><th>what</th>"
         "</tr></thead><tbody>";
-    for (const RunSet::Broken& b : s->first_broken) {
+    for (const RunSet::ListedViolation& b : s->first_violations) {
       out += text("<tr><td>%llu</td><td>%.3f s</td><td>%s</td><td>%s</td><td class=\"text\">",
                   static_cast<unsigned long long>(b.seed), b.at, b.rule.c_str(), b.session.c_str()) +
              escaped(b.what) + "</td></tr>";
--- a/src/lab/reports/report.h
+++ b/src/lab/reports/report.h
@@ -1,4 +1,4 @@
-// One self-contained HTML page about run sets, with plots as SVG.
+// Renders run sets as one self-contained HTML page with SVG plots.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 
 namespace flintweir::lab {
 
-// Sets of the same experiment stand beside each other, the first of them the one in question.
+// Sets of the same experiment are shown side by side; the first is the one under test.
 std::string report_page(const std::vector<RunSet>& sets);
 
 }  // namespace flintweir::lab
--- a/src/lab/reports/results.cpp
+++ b/src/lab/reports/results.cpp
@@ -8,8 +8,8 @@
 namespace flintweir::lab {
 namespace {
 
-constexpr std::size_t kListed = 100;  // violations
-constexpr double kShares[] = {0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999};
+constexpr std::size_t kMaxListedViolations = 100;
+constexpr double kQuantiles[] = {0.01, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999};
 
 std::string hex(std::uint64_t x) {
   char out[20];
@@ -30,29 +30,29 @@
   finish();
 }
 
-void RunSet::add(const RunResult& ran) {
-  const Outcome& o = ran.outcome;
+void RunSet::add(const RunResult& result) {
+  const Outcome& o = result.outcome;
   ++runs;
-  took_ += ran.wall_seconds;
-  seconds_ += lasts;
-  if (!ran.failed.empty() && failed_.empty())
-    failed_ = "seed " + std::to_string(ran.seed) + ": " + ran.failed;
+  wall_seconds_ += result.wall_seconds;
+  virtual_seconds_ += lasts;
+  if (!result.failed.empty() && failed_.empty())
+    failed_ = "seed " + std::to_string(result.seed) + ": " + result.failed;
   tally_.add(o.tally);
   for (const std::string& name : figure_names()) per_seed_[name].push_back(*lab::figure(o.tally, name));
   hash_value_ = mix(hash_value_ * 31 + o.hash);
   violations_ += o.violations.size();
   checks_ += o.checks;
   for (const Violation& v : o.violations) {
-    if (first_broken.size() < kListed)
-      first_broken.push_back({ran.seed, seconds(v.at), name_of(v.rule), hex(v.session.value), v.what});
+    if (first_violations.size() < kMaxListedViolations)
+      first_violations.push_back({result.seed, seconds(v.at), name_of(v.rule), hex(v.session.value), v.what});
   }
-  if (sums_.size() < o.seconds.size()) sums_.resize(o.seconds.size());
+  if (totals_by_second_.size() < o.seconds.size()) totals_by_second_.resize(o.seconds.size());
   for (std::size_t i = 0; i < o.seconds.size(); ++i) {
-    sums_[i].asked += o.seconds[i].asked;
-    sums_[i].served += o.seconds[i].served;
-    sums_[i].refused += o.seconds[i].refused;
-    sums_[i].moved += o.seconds[i].moved;
-    sums_[i].sessions += o.seconds[i].sessions;
+    totals_by_second_[i].asked += o.seconds[i].asked;
+    totals_by_second_[i].served += o.seconds[i].served;
+    totals_by_second_[i].refused += o.seconds[i].refused;
+    totals_by_second_[i].moved += o.seconds[i].moved;
+    totals_by_second_[i].sessions += o.seconds[i].sessions;
   }
   if (runs == 1) {
     for (const Second& s : o.seconds) {
@@ -72,26 +72,26 @@
   hash_ = hex(hash_value_);
   service.clear(), refused.clear(), moved.clear(), came.clear(), to_up.clear();
   const double n = static_cast<double>(std::max<std::uint64_t>(runs, 1));
-  for (const Second& s : sums_) {
+  for (const Second& s : totals_by_second_) {
     service.push_back(s.asked > 0 ? s.served / s.asked : 1);
     refused.push_back(s.refused / n);
     moved.push_back(s.moved / n);
     came.push_back(s.sessions / n);
   }
-  for (const double share : kShares)
-    to_up.emplace_back(share, static_cast<double>(tally_.to_up.at(share).count()) / 1000);
+  for (const double share : kQuantiles)
+    to_up.emplace_back(share, static_cast<double>(tally_.to_up.quantile(share).count()) / 1000);
 }
 
 nlohmann::json RunSet::to_json() const {
   nlohmann::json out{{"experiment", experiment}, {"about", about},         {"title", title},
                      {"first_seed", first_seed}, {"last_seed", last_seed}, {"runs", runs},
                      {"lasts", lasts},           {"measures", measures},   {"violations", violations_},
-                     {"checks", checks_},        {"took", took_},          {"hash", hash_},
+                     {"checks", checks_},        {"took", wall_seconds_},  {"hash", hash_},
                      {"figures", figures_},      {"per_seed", per_seed_},  {"service", service},
                      {"refused", refused},       {"moved", moved},         {"came", came},
                      {"loads", loads},           {"to_up", to_up},         {"failed", failed_}};
   out["broken"] = nlohmann::json::array();
-  for (const Broken& b : first_broken)
+  for (const ListedViolation& b : first_violations)
     out["broken"].push_back(
         {{"seed", b.seed}, {"at", b.at}, {"rule", b.rule}, {"session", b.session}, {"what", b.what}});
   out["marks"] = nlohmann::json::array();
@@ -99,7 +99,7 @@
   return out;
 }
 
-RunSet RunSet::of_json(const nlohmann::json& j) {
+RunSet RunSet::from_json(const nlohmann::json& j) {
   RunSet out;
   j.at("experiment").get_to(out.experiment);
   j.at("about").get_to(out.about);
@@ -111,7 +111,7 @@
   j.at("measures").get_to(out.measures);
   j.at("violations").get_to(out.violations_);
   j.at("checks").get_to(out.checks_);
-  j.at("took").get_to(out.took_);
+  j.at("took").get_to(out.wall_seconds_);
   j.at("hash").get_to(out.hash_);
   j.at("figures").get_to(out.figures_);
   j.at("per_seed").get_to(out.per_seed_);
@@ -123,9 +123,9 @@
   j.at("to_up").get_to(out.to_up);
   j.at("failed").get_to(out.failed_);
   for (const auto& b : j.at("broken"))
-    out.first_broken.push_back({b.at("seed"), b.at("at"), b.at("rule"), b.at("session"), b.at("what")});
+    out.first_violations.push_back({b.at("seed"), b.at("at"), b.at("rule"), b.at("session"), b.at("what")});
   for (const auto& m : j.at("marks")) out.marks.push_back({m.at("at"), m.at("until"), m.at("what")});
-  out.seconds_ = out.lasts * static_cast<double>(out.runs);
+  out.virtual_seconds_ = out.lasts * static_cast<double>(out.runs);
   return out;
 }
 
--- a/src/lab/reports/scale_module.h
+++ b/src/lab/reports/scale_module.h
@@ -1,6 +1,6 @@
-// The decision module alone, through its interface, with groups as long-tailed as a large deployment's: what
-// a placement and a held session cost as hosts grow, how many copies of groups there are, what a host's death
-// moves.
+// Benchmarks of the decision module alone, through its public interface, with Zipf-distributed group sizes as
+// in a large deployment: the cost of a placement and of an open session by number of hosts, the number of
+// hosts per group, and the sessions that a failing host moves.
 #pragma once
 
 #include <cstdint>
@@ -10,21 +10,21 @@
 
 struct ModuleScale {
   unsigned hosts = 0, sessions = 0;
-  double placement_us = 0;     // processor time, the last thousand
-  double memory_kib = 0;       // of all that the module holds
-  double beat_us = 0;          // processor time of what it does by itself in a second
-  double copies = 0;           // hosts that hold a group, over the groups held
-  unsigned largest_hosts = 0;  // hosts that hold the largest group
-  double most_load = 0;        // of the host with most sessions, over the mean
-  unsigned moved = 0;          // sessions of a host that dies
+  double placement_us = 0;        // mean CPU time of one placement, over the last thousand
+  double memory_kib = 0;          // heap growth for all sessions
+  double idle_us_per_second = 0;  // CPU time of the module's timers and probes in one second
+  double hosts_per_group = 0;     // mean number of hosts that serve a group
+  unsigned largest_hosts = 0;     // hosts that serve the largest group
+  double max_load_ratio = 0;      // sessions on the busiest host relative to the mean
+  unsigned moved = 0;             // sessions on the busiest host when it fails
 };
 
-// `nodes`: of the fleet, of which this is one. Groups are Zipf's with that exponent.
+// Measures one node of a fleet of `nodes`. Group sizes follow a Zipf distribution with exponent 0.82.
 ModuleScale scale_module(unsigned hosts, unsigned sessions, unsigned groups, unsigned nodes,
                          std::uint64_t seed);
 
-// Probes a second that a node sends which takes so many sessions a second, at that price of one, after a
-// minute.
-double probes_a_second(unsigned hosts, double sessions_a_second, double price, std::uint64_t seed);
+// Probes per second that one node sends at the given session rate and price of a probe, measured over 30 s
+// after a warm-up of one minute.
+double probes_per_second(unsigned hosts, double sessions_per_second, double price, std::uint64_t seed);
 
 }  // namespace flintweir::lab
--- a/tests/flaws.cmake
+++ b/tests/flaws.cmake
@@ -1,7 +1,8 @@
-# Shows that the lab's checker can fail: each of these builds of the lab has one deliberate fault in the node or the
-# module, and must be caught within 200 seeds, by the rule named.
+# Mutation tests of the lab's checker: each build of the lab below has one deliberate bug in the node or the decision
+# module, and the lab must detect it within 200 seeds by the rule named.
 
-# flintweir_flaw(NAME EXPERIMENT[:VARIANT] RULE FILE FROM TO [FROM TO]...): the lab with that text of FILE changed.
+# flintweir_flaw(NAME EXPERIMENT[:VARIANT] RULE FILE FROM TO [FROM TO]...): builds the lab with each text FROM in
+# FILE replaced by TO, and adds a test that expects a violation of RULE.
 function(flintweir_flaw name experiment rule file)
   file(READ ${PROJECT_SOURCE_DIR}/${file} text)
   math(EXPR last "${ARGC} - 1")
@@ -15,7 +16,7 @@
   endforeach()
   set_property(DIRECTORY APPEND PROPERTY CMAKE_CONFIGURE_DEPENDS ${PROJECT_SOURCE_DIR}/${file})
   file(CONFIGURE OUTPUT ${PROJECT_BINARY_DIR}/flaws/${name}.cpp CONTENT "${text}" @ONLY)
-  # Its symbols are found before the library's, whose own object then stays out.
+  # The linker finds these symbols first, so the library's object of the same file is not linked.
   add_executable(flaw-${name} ${PROJECT_BINARY_DIR}/flaws/${name}.cpp)
   target_link_libraries(flaw-${name} PRIVATE flintweir_lab_main)
   string(REPLACE ":" ";" day "${experiment}")
@@ -33,7 +34,7 @@
   elseif(experiment STREQUAL "crossings")
     add_test(NAME caught-${name} COMMAND flaw-${name} crossings --jobs 4)
   elseif(rule STREQUAL "view-ghost")
-    # Counted by rule at the end: a view that does not settle is seen before.
+    # Runs all seeds and matches the counts by rule at the end: the rule on views that do not settle breaks earlier.
     add_test(NAME caught-${name} COMMAND flaw-${name} run ${PROJECT_SOURCE_DIR}/lab/${of}.toml ${variant}
       --seeds 1..200 --jobs 4)
   else()
@@ -87,7 +88,7 @@
 flintweir_flaw(silence-borne crossings ended src/line/relay.cpp
   "kSilenceTimeout = 4s" "kSilenceTimeout = 40s")
 
-# The fleet's own view.
+# Fleet membership.
 flintweir_flaw(views-never-exchanged members view-settled src/members/view.cpp
   "if (from.digest != digest() && joined()" "if (from.digest == digest() && joined()")
 flintweir_flaw(verdict-at-once members view-false src/members/view.cpp
@@ -126,7 +127,7 @@
 flintweir_flaw(grant-not-kept search two- src/leases/voter.cpp
   "(entry.granted != request.token || entry.holder != client) && !save(it->first, next)" "false")
 
-# What happens between two lines: one exchange cut after each byte, with each event there.
+# Events between two lines: one exchange interrupted after each byte by each event.
 flintweir_flaw(gone-and-dialled crossings left-dialled src/line/proxy_session.cpp
   "  if (client_conn_.check_waiting()) return true;" "  return true;")
 flintweir_flaw(drained-while-connecting crossings drain src/line/proxy_session.cpp
@@ -155,7 +156,7 @@
   "if (moving_ && at_line_start_)" "if (moving_)"
   "host_->at_eof() ? bytes.buffered().size() : parsed_" "bytes.buffered().size()")
 
-# Changes of configuration.
+# Configuration changes.
 flintweir_flaw(change-goes-back changes back src/changes/replicator.cpp
   "if (theirs > status_.held.newest) return true;" "if (theirs != status_.held.newest) return true;"
   "if (id > status_.held.newest) {" "if (id != status_.held.newest) {")
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,4 +1,4 @@
-// The lab: its network, its models and its checker, and the node's own code among them, over fixed seeds.
+// Tests of the lab over fixed seeds: its network, models and checker, together with the node's own code.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -37,7 +37,7 @@
   return out.str() + ran.failed;
 }
 
-// Both ends of one connection, which throw bytes at each other and end in some way.
+// Both ends of one connection, which send each other random bytes and close in one of several ways.
 class Talker final : net::StreamEvents, net::AcceptEvents {
  public:
   Talker(Process& process, std::uint64_t seed) : sockets_(process, 1000), stream_(sockets_), chance_(seed) {}
@@ -101,8 +101,8 @@
   bool up_ = false, finishing_ = false;
 };
 
-// Whatever breaks for a while, bytes come in order and none is lost or made up, both ways; the end comes
-// after the last of them, or not at all.
+// Through temporary faults, bytes must arrive in order in both directions, none lost and none invented; the
+// end of the stream arrives after the last byte or never.
 TEST(VirtualNetwork, CarriesBytesInOrderThroughTroubles) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 chance(seed);
@@ -159,7 +159,7 @@
   right->kill();
   event_queue.run_until(4s);
   EXPECT_TRUE(killed.reset);
-  // A machine that is gone says nothing, and what was open is reset when it is back.
+  // A lost machine sends nothing, and its open connections are reset when it returns.
   door.reset();
   right = std::make_unique<Process>(network, b, 100);
   door = std::make_unique<Talker>(*right, 5);
@@ -175,7 +175,7 @@
   network.reconnect(b);
   event_queue.run_until(70s);
   EXPECT_TRUE(lost.reset);
-  // Two sockets and no more descriptors: a third is not given.
+  // With descriptors for two sockets only, opening a third one must fail.
   net::Sockets sockets(left, 1000);
   struct Nobody final : net::SocketEvents {
     void connected(net::ConnectResult) override {}
@@ -197,11 +197,11 @@
   std::sort(all.begin(), all.end());
   for (const double share : {0.01, 0.5, 0.9, 0.99, 0.999}) {
     const auto exact = static_cast<double>(all[static_cast<std::size_t>(share * 20000) - 1]);
-    EXPECT_NEAR(static_cast<double>(h.at(share).count()), exact, exact * 0.07 + 1) << share;
+    EXPECT_NEAR(static_cast<double>(h.quantile(share).count()), exact, exact * 0.07 + 1) << share;
   }
 }
 
-// The text of each fault says where the file is wrong; none of them is read half.
+// Each error message must say where the file is wrong, and no invalid file may be accepted in part.
 TEST(Experiment, TellsWhereAFileIsWrong) {
   const std::pair<const char*, const char*> bad[] = {
       {"name = \"x\"\nlasts = 5", "x:2: lasts:"},
@@ -239,7 +239,7 @@
   EXPECT_EQ(one.outcome.log, two.outcome.log);
   EXPECT_EQ(one.node_log, two.node_log);
   EXPECT_NE(one.outcome.hash, run_virtual(e, 8).outcome.hash);
-  // And however many run at a time.
+  // The same for any number of parallel runs.
   const auto hashes = [&](unsigned jobs) {
     std::vector<std::uint64_t> out;
     run_seeds(
@@ -250,7 +250,7 @@
   EXPECT_EQ(hashes(1), hashes(4));
 }
 
-// What the tool prints, and its exit status.
+// Output and exit status of the tool.
 std::pair<std::string, int> tool(const std::string& words) {
   FILE* const pipe = popen((std::string(FLINTWEIR_LAB_TOOL) + ' ' + words + " 2>&1").c_str(), "r");
   std::string out;
@@ -277,7 +277,7 @@
   }
 }
 
-// Each kind of trouble over its first seeds, then the seeds that once broke a rule.
+// Each kind of fault over its first seeds, then the seeds that once broke a rule.
 class Days : public testing::TestWithParam<const char*> {};
 TEST_P(Days, KeepEveryRule) {
   const Experiment e = experiment(GetParam());
@@ -297,14 +297,15 @@
                                          "rude_clients", "slow_way", "zone_cut"),
                          [](const auto& info) { return std::string(info.param); });
 
-// A hundred nodes, and the same load for each host on a few: what a crowd does that one node does not.
+// A hundred nodes against the same load per host on a few nodes: guards against effects that arise only with
+// many nodes.
 class Crowds : public testing::TestWithParam<const char*> {};
 TEST_P(Crowds, KeepEveryRule) {
   const std::string file = std::string(FLINTWEIR_EXPERIMENTS) + "/" + GetParam() + ".toml";
   const Experiment twin = Experiment::from_file(file, "twin");
   for (std::uint64_t seed = 1; seed <= FLINTWEIR_LAB_SEEDS; ++seed)
     EXPECT_EQ(broken(run_virtual(twin, seed)), "") << seed;
-  if (FLINTWEIR_LAB_SEEDS < 2) return;  // with sanitizers it takes too long
+  if (FLINTWEIR_LAB_SEEDS < 2) return;  // too slow with sanitizers
   const RunResult large = run_virtual(Experiment::from_file(file), 1);
   EXPECT_EQ(broken(large), "");
   EXPECT_GT(large.outcome.tally.accepted, 1000u);
@@ -344,11 +345,11 @@
   RunSet set(e, "module", 1, 2);
   set.add(run_virtual(e, 1));
   set.add(run_virtual(e, 2));
-  EXPECT_EQ(RunSet::of_json(set.to_json()).to_json(), set.to_json());
+  EXPECT_EQ(RunSet::from_json(set.to_json()).to_json(), set.to_json());
 }
 
-// The page's tables: a line for whatever is wrong in the files, a fit that says its error, and no figure
-// beyond the points of what bends.
+// Capacity tables: a one-line error for each mistake in the files, a fit that reports its deviation, and no
+// extrapolation of a nonlinear slope.
 TEST(CapacityPage, TellsWhereAFileIsWrongAndWhatBends) {
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("flintweir-capacity-" + std::to_string(getpid()))).string();
@@ -377,14 +378,15 @@
            {slope("1, 2, 3, 4") + row, "nodes = 500\n", "hosts: is missing"},
            {slope("1, 2, 3, 4") + row, "nodes = \"many\"\nhosts = [1]\n", "nodes: is not a number"},
            {slope("1, 2, 3, 4") + row, "nodes = 0\nhosts = [1]\n", "nodes: is not above zero"},
-           {slope("1, 2, 3, 4") + row, "nodes = 500\nhosts = [1]\n", "'bound' is no count"},
-           {slope("1, 2, 3") + row, sizes, "has not as many points"},
-           {slope("1, 2, 3, -4") + row, sizes, "no number of zero or more"},
+           {slope("1, 2, 3, 4") + row, "nodes = 500\nhosts = [1]\n", "'bound' is neither a count"},
+           {slope("1, 2, 3") + row, sizes, "has a different number of points than x"},
+           {slope("1, 2, 3, -4") + row, sizes, "not a number of zero or more"},
            {row, sizes, "is not among the slopes"},
            {"[[slope]]\nname = \"a\"\n", sizes, "unit: is missing"},
-           {"[[row]]\nstate = \"s\"\nrole = \"r\"\nwhat = \"w\"\n", sizes, "or a figure, or a value"},
+           {"[[row]]\nstate = \"s\"\nrole = \"r\"\nwhat = \"w\"\n", sizes,
+            "exactly one of slope, figure and value"},
            {"[slop]\n", sizes, "slop: is unknown"},
-           {"", sizes, "there is none"},
+           {"", sizes, "row: at least one is required"},
            {"x = \n", sizes, "slopes.toml:1"}}) {
     try {
       made(s, z);
@@ -397,8 +399,8 @@
   std::filesystem::remove_all(folder);
 }
 
-// Every exchange cut after each byte in turn, with each event there. Guards against what happens between two
-// lines only: a client that has left and is dialled, an answer lost at SIGTERM, a silent watch that is kept.
+// Interrupts every exchange after each byte in turn with each event. Guards against failures that occur only
+// between two lines: a dial for a client that has left, a reply lost at SIGTERM, a silent watch that is kept.
 TEST(Crossings, KeepEveryRule) {
   const std::vector<Interleaving> all = all_interleavings();
   std::size_t played = 0;
@@ -407,7 +409,7 @@
   EXPECT_GT(played, 400u);
 }
 
-// The same models and the same rules against the real program, in real time.
+// The same models and rules against the real program, in real time.
 TEST(Lab, TheRealProgramKeepsTheRulesOnLoopback) {
   Experiment e = Experiment::from_text(kBuiltinExperiment, "day");
   e.duration = 12s;
