--- a/apps/flintweir_lab.cpp
+++ b/apps/flintweir_lab.cpp
@@ -41,7 +41,7 @@
   std::uint64_t first = 1, last = 1;
 };
 
-Seeds seeds_of(const std::string& text) {
+Seeds parse_seeds(const std::string& text) {
   Seeds out;
   char extra;
   unsigned long long a, b;
@@ -57,7 +57,7 @@
 }
 
 // The flintweir command: the words of `given`, or else the executable in this program's directory.
-std::vector<std::string> program_of(const std::string& given) {
+std::vector<std::string> program_command(const std::string& given) {
   if (given.empty()) return {(fs::read_symlink("/proc/self/exe").parent_path() / "flintweir").string()};
   std::istringstream words(given);
   return {std::istream_iterator<std::string>(words), {}};
@@ -68,27 +68,27 @@
   Progress(std::string title, std::uint64_t all) : title_(std::move(title)), all_(all) {}
   void show(const RunSet& set) {
     const auto now = std::chrono::steady_clock::now();
-    if (!isatty(2) || (now - shown_ < std::chrono::milliseconds(200) && set.runs < all_)) return;
-    shown_ = now;
-    const double took = std::chrono::duration<double>(now - began_).count();
+    if (!isatty(2) || (now - last_shown_ < std::chrono::milliseconds(200) && set.runs < all_)) return;
+    last_shown_ = now;
+    const double elapsed = std::chrono::duration<double>(now - started_).count();
     std::fprintf(stderr, "\r%s: %llu of %llu runs, %llu broken rules, %.0f s a second \033[K%s",
                  title_.c_str(), static_cast<unsigned long long>(set.runs),
                  static_cast<unsigned long long>(all_), static_cast<unsigned long long>(set.violations()),
-                 set.virtual_seconds() / std::max(took, 0.001), set.runs == all_ ? "\n" : "");
+                 set.virtual_seconds() / std::max(elapsed, 0.001), set.runs == all_ ? "\n" : "");
   }
 
  private:
   std::string title_;
   std::uint64_t all_;
-  std::chrono::steady_clock::time_point began_ = std::chrono::steady_clock::now(), shown_{};
+  std::chrono::steady_clock::time_point started_ = std::chrono::steady_clock::now(), last_shown_{};
 };
 
-struct RunWays {
+struct RunOptions {
   unsigned jobs = 1;
   bool real = false, until_broken = false, keep_logs = false;
   unsigned holders = 4;  // candidates for one lease, in virtual time
   std::optional<BaselineProtocol>
-      plain;  // membership experiment: a baseline protocol that replaces the node's own
+      baseline_protocol;  // membership experiment: a baseline protocol that replaces the node's own
   std::vector<std::string> program;
   fs::path out;
 };
@@ -107,33 +107,34 @@
   return out;
 }
 
-RunSet run_set(const Experiment& e, const std::string& title, Seeds seeds, const RunWays& ways) {
+RunSet run_set(const Experiment& e, const std::string& title, Seeds seeds, const RunOptions& run_options) {
   RunSet set(e, title, seeds.first, seeds.last);
   Progress progress(e.name + ", " + title, seeds.last - seeds.first + 1);
-  const bool keep = ways.keep_logs && !ways.out.empty();
+  const bool keep = run_options.keep_logs && !run_options.out.empty();
   const auto run = [&](std::uint64_t seed) {
-    if (!ways.real) return run_virtual(e, seed, {keep, keep});
-    const fs::path folder = (ways.out.empty() ? fs::temp_directory_path() : ways.out) /
+    if (!run_options.real) return run_virtual(e, seed, {keep, keep});
+    const fs::path folder = (run_options.out.empty() ? fs::temp_directory_path() : run_options.out) /
                             ("real-" + std::to_string(getpid()) + "-" + std::to_string(seed));
     fs::create_directories(folder);
-    RunResult ran = run_real(e, seed, {keep, false}, ways.program, folder.string());
-    if (ways.out.empty()) fs::remove_all(folder);
-    return ran;
+    RunResult result = run_real(e, seed, {keep, false}, run_options.program, folder.string());
+    if (run_options.out.empty()) fs::remove_all(folder);
+    return result;
   };
-  run_seeds(seeds.first, seeds.last, ways.real ? 1 : ways.jobs, run, [&](RunResult&& ran) {
-    set.add(ran);
+  run_seeds(seeds.first, seeds.last, run_options.real ? 1 : run_options.jobs, run, [&](RunResult&& result) {
+    set.add(result);
     if (keep) {
-      const std::string base = file_name(set) + "-" + std::to_string(ran.seed);
-      write(ways.out / (base + ".events"), ran.outcome.log);
-      if (!ran.node_log.empty()) write(ways.out / (base + ".log"), ran.node_log);
+      const std::string base = file_name(set) + "-" + std::to_string(result.seed);
+      write(run_options.out / (base + ".events"), result.outcome.log);
+      if (!result.node_log.empty()) write(run_options.out / (base + ".log"), result.node_log);
     }
     progress.show(set);
-    return !(ways.until_broken && set.broken());
+    return !(run_options.until_broken && set.broken());
   });
-  if (!ways.out.empty()) write(ways.out / (file_name(set) + ".json"), set.to_json().dump(1));
+  if (!run_options.out.empty()) write(run_options.out / (file_name(set) + ".json"), set.to_json().dump(1));
   return set;
 }
 
+// Prints one line of figures per run set.
 void print_table(const std::vector<RunSet>& sets) {
   std::printf("%-22s %8s %8s %8s %9s %6s %7s %9s %9s  %s\n", "", "asked", "served", "refused", "torn down",
               "moved", "broken", "service", "UP p99", "rules");
@@ -148,7 +149,8 @@
   }
 }
 
-void print_broken(const RunSet& set, const std::string& file) {
+// Prints the first ten violations and the command that repeats the first failing seed.
+void print_violations(const RunSet& set, const std::string& file) {
   std::size_t shown = 0;
   for (const RunSet::ListedViolation& b : set.first_violations) {
     if (++shown > 10) break;
@@ -161,7 +163,7 @@
                 static_cast<unsigned long long>(set.first_violations.front().seed));
 }
 
-std::string spread_of(std::vector<double> values, const char* unit) {
+std::string format_spread(std::vector<double> values, const char* unit) {
   if (values.empty()) return "-";
   std::sort(values.begin(), values.end());
   char out[96];
@@ -171,120 +173,125 @@
 }
 
 // Runs a membership experiment and prints its rules and figures, one per line.
-int run_fleet(const std::string& file, const std::string& variant, Seeds seeds, const RunWays& ways,
+int run_fleet(const std::string& file, const std::string& variant, Seeds seeds, const RunOptions& run_options,
               const std::string& only) {
   const MembershipPlan plan = MembershipPlan::from_file(file, variant);
-  std::vector<double> joined, known, join_known, settled, rest;
-  std::uint64_t called_failed = 0, looks = 0, runs = 0, broken = 0;
+  std::vector<double> join_ms, crash_detection_ms, join_detection_ms, reconverged_ms, idle;
+  std::uint64_t running_reported_failed = 0, observations = 0, runs = 0, broken = 0;
   double virtual_seconds = 0;
   std::mutex mutex;
   std::atomic<std::uint64_t> next{seeds.first};
-  std::atomic<bool> enough{false};
+  std::atomic<bool> stop{false};
   std::map<std::uint64_t, MembershipResult> outcomes;
   std::map<std::string, unsigned> by_rule;
   std::string failed;
-  const auto began = std::chrono::steady_clock::now();
+  const auto started = std::chrono::steady_clock::now();
   const auto work = [&] {
-    for (std::uint64_t seed; !enough && (seed = next++) <= seeds.last;) {
+    for (std::uint64_t seed; !stop && (seed = next++) <= seeds.last;) {
       try {
         std::string log;
-        const bool keep = ways.keep_logs && !ways.out.empty();
+        const bool keep = run_options.keep_logs && !run_options.out.empty();
         MembershipResult one;
-        if (ways.real) {
-          const fs::path folder = (ways.out.empty() ? fs::temp_directory_path() : ways.out) /
+        if (run_options.real) {
+          const fs::path folder = (run_options.out.empty() ? fs::temp_directory_path() : run_options.out) /
                                   ("fleet-" + std::to_string(getpid()) + "-" + std::to_string(seed));
           fs::create_directories(folder);
-          one = run_membership_loopback(plan, seed, only, ways.program, folder.string());
-          if (ways.out.empty()) fs::remove_all(folder);
+          one = run_membership_loopback(plan, seed, only, run_options.program, folder.string());
+          if (run_options.out.empty()) fs::remove_all(folder);
         } else {
-          one = run_membership_virtual(plan, seed, only, keep ? &log : nullptr, ways.plain);
+          one =
+              run_membership_virtual(plan, seed, only, keep ? &log : nullptr, run_options.baseline_protocol);
         }
         const std::lock_guard lock(mutex);
-        if (keep && !log.empty()) write(ways.out / ("fleet-" + std::to_string(seed) + ".log"), log);
-        if (ways.until_broken && !one.violations.empty()) enough = true;
+        if (keep && !log.empty()) write(run_options.out / ("fleet-" + std::to_string(seed) + ".log"), log);
+        if (run_options.until_broken && !one.violations.empty()) stop = true;
         outcomes.emplace(seed, std::move(one));
       } catch (const std::exception& e) {
         const std::lock_guard lock(mutex);
         failed = e.what();
-        enough = true;
+        stop = true;
       }
     }
   };
   std::vector<std::thread> threads;
-  for (unsigned i = 0; i < (ways.real ? 1 : ways.jobs); ++i) threads.emplace_back(work);
+  for (unsigned i = 0; i < (run_options.real ? 1 : run_options.jobs); ++i) threads.emplace_back(work);
   for (std::thread& t : threads) t.join();
   if (!failed.empty()) throw InputError(failed);
   for (const auto& [seed, one] : outcomes) {
     ++runs;
-    looks += one.observations;
+    observations += one.observations;
     virtual_seconds += one.duration_s;
-    if (one.converged_ms) joined.push_back(*one.converged_ms);
-    if (one.reconverged_ms) settled.push_back(*one.reconverged_ms);
-    known.insert(known.end(), one.crash_detection_ms.begin(), one.crash_detection_ms.end());
-    join_known.insert(join_known.end(), one.join_detection_ms.begin(), one.join_detection_ms.end());
-    called_failed += one.running_reported_failed;
-    rest.push_back(one.idle_bytes_per_second);
-    std::string troubles;
-    for (const std::string& t : one.faults) troubles += (troubles.empty() ? "" : ",") + t;
+    if (one.converged_ms) join_ms.push_back(*one.converged_ms);
+    if (one.reconverged_ms) reconverged_ms.push_back(*one.reconverged_ms);
+    crash_detection_ms.insert(crash_detection_ms.end(), one.crash_detection_ms.begin(),
+                              one.crash_detection_ms.end());
+    join_detection_ms.insert(join_detection_ms.end(), one.join_detection_ms.begin(),
+                             one.join_detection_ms.end());
+    running_reported_failed += one.running_reported_failed;
+    idle.push_back(one.idle_bytes_per_second);
+    std::string faults;
+    for (const std::string& t : one.faults) faults += (faults.empty() ? "" : ",") + t;
     for (const MembershipViolation& b : one.violations) {
       ++by_rule[name_of(b.rule)];
       if (++broken <= 20)
         std::printf("broken: rule=%s seed=%llu at=%.3fs troubles=%s: %s\n", name_of(b.rule),
                     static_cast<unsigned long long>(seed), static_cast<double>(b.at.count()) / 1e6,
-                    troubles.c_str(), b.description.c_str());
+                    faults.c_str(), b.description.c_str());
     }
   }
-  const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+  const double elapsed = std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count();
   std::printf("%s: %s\n%llu runs of %u nodes, %.0f s in all, in %.1f s; %llu looks; rules %s\n",
               plan.name.c_str(), plan.about.c_str(), static_cast<unsigned long long>(runs), plan.nodes,
-              virtual_seconds, took, static_cast<unsigned long long>(looks), broken ? "broken" : "kept");
+              virtual_seconds, elapsed, static_cast<unsigned long long>(observations),
+              broken ? "broken" : "kept");
   for (const auto& [rule, times] : by_rule) std::printf("%-17s broken %u times\n", rule.c_str(), times);
-  std::printf("all joined        %s\n", spread_of(joined, "ms").c_str());
-  std::printf("crash known       %s\n", spread_of(known, "ms").c_str());
-  std::printf("join known        %s\n", spread_of(join_known, "ms").c_str());
+  std::printf("all joined        %s\n", format_spread(join_ms, "ms").c_str());
+  std::printf("crash known       %s\n", format_spread(crash_detection_ms, "ms").c_str());
+  std::printf("join known        %s\n", format_spread(join_detection_ms, "ms").c_str());
   std::printf("called failed     %llu that ran, %.2f an hour\n",
-              static_cast<unsigned long long>(called_failed),
-              3600.0 * static_cast<double>(called_failed) / virtual_seconds);
-  std::printf("settled again     %s\n", spread_of(settled, "ms").c_str());
-  std::printf("sent at rest      %s\n", spread_of(rest, "bytes a node and second").c_str());
+              static_cast<unsigned long long>(running_reported_failed),
+              3600.0 * static_cast<double>(running_reported_failed) / virtual_seconds);
+  std::printf("settled again     %s\n", format_spread(reconverged_ms, "ms").c_str());
+  std::printf("sent at rest      %s\n", format_spread(idle, "bytes a node and second").c_str());
   return broken ? 1 : 0;
 }
 
-fs::path folder_for(const RunWays& ways, const char* what) {
-  const fs::path out =
-      (ways.out.empty() ? fs::temp_directory_path() : ways.out) / (what + ("-" + std::to_string(getpid())));
+fs::path folder_for(const RunOptions& run_options, const char* what) {
+  const fs::path out = (run_options.out.empty() ? fs::temp_directory_path() : run_options.out) /
+                       (what + ("-" + std::to_string(getpid())));
   fs::create_directories(out);
   return out;
 }
 
-int hollow(const InProcessFleetPlan& plan, const RunWays& ways) {
-  const fs::path folder = folder_for(ways, "hollow");
-  const InProcessFleetResult o = run_in_process_fleet(plan, ways.program, folder.string());
-  if (ways.out.empty()) fs::remove_all(folder);
+// Runs many nodes of the fleet code in one process, together with some real processes.
+int run_in_process_fleet_command(const InProcessFleetPlan& plan, const RunOptions& run_options) {
+  const fs::path folder = folder_for(run_options, "hollow");
+  const InProcessFleetResult o = run_in_process_fleet(plan, run_options.program, folder.string());
+  if (run_options.out.empty()) fs::remove_all(folder);
   std::printf("members=%u real=%u loss=%.2f\n", plan.members, plan.processes, plan.datagram_loss);
   std::printf("one view after %.2f s; memory %.1f KiB a node\n", o.converged_s, o.memory_kib);
   std::printf(
       "at rest: %.0f bytes a node and second, %.0f of the node that sends most, %.4f%% of a core a node\n",
       o.idle_bytes_per_second, o.max_idle_bytes_per_second, o.idle_cpu * 100);
-  bool whole = o.converged_s >= 0;
+  bool complete = o.converged_s >= 0;
   for (const auto& [what, known] : o.propagation_s) {
     std::printf(
         "%-24s half know after %.2f s, all after %.2f s; %.0f bytes a node and second, most %.0f, %.4f%% of "
         "a core\n",
         what.c_str(), known.first, known.second, o.bytes_per_second.at(what), o.max_bytes_per_second.at(what),
         o.cpu.at(what) * 100);
-    whole = whole && known.second >= 0;
+    complete = complete && known.second >= 0;
   }
   std::printf("half restarted in 30 s: %.0f bytes a node and second\n",
               o.bytes_per_second.at("half restarted"));
-  if (!whole) std::printf("broken: not all came to know\n");
-  return whole ? 0 : 1;
+  if (!complete) std::printf("broken: not all came to know\n");
+  return complete ? 0 : 1;
 }
 
-int scale(const std::vector<unsigned>& sizes, const RunWays& ways) {
-  const fs::path folder = folder_for(ways, "scale");
-  const auto all = measure_node_scaling(ways.program, sizes, folder.string());
-  if (ways.out.empty()) fs::remove_all(folder);
+int run_node_scaling(const std::vector<unsigned>& sizes, const RunOptions& run_options) {
+  const fs::path folder = folder_for(run_options, "scale");
+  const auto all = measure_node_scaling(run_options.program, sizes, folder.string());
+  if (run_options.out.empty()) fs::remove_all(folder);
   for (const NodeScalingResult& s : all) {
     std::printf(
         "sessions=%u memory %.0f KiB (%.2f a session), %.1f us to open, idle %.2f%% of a core, refused %u\n",
@@ -301,8 +308,8 @@
   return 0;
 }
 
-int scale_groups(const std::vector<unsigned>& hosts, const std::vector<unsigned>& sessions, unsigned groups,
-                 unsigned nodes) {
+int run_module_scaling(const std::vector<unsigned>& hosts, const std::vector<unsigned>& sessions,
+                       unsigned groups, unsigned nodes) {
   for (const unsigned h : hosts)
     for (const unsigned n : sessions) {
       const ModuleScale s = scale_module(h, n, groups, nodes, 7);
@@ -332,22 +339,24 @@
   return 1;
 }
 
-int changes(Seeds seeds, const RunWays& ways, const ChangeExperimentPlan& plan, const std::string& only) {
+int changes(Seeds seeds, const RunOptions& run_options, const ChangeExperimentPlan& plan,
+            const std::string& only) {
   std::mutex mutex;
-  std::map<std::string, ChangeResult> by_trouble;
+  std::map<std::string, ChangeResult> results_by_fault;
   std::map<std::string, unsigned> runs;
   std::atomic<std::uint64_t> next{seeds.first};
   unsigned broken = 0;
-  std::vector<double> rest, busy, most;
+  std::vector<double> idle, after_change, max_after_change;
   const auto work = [&] {
     for (std::uint64_t seed; (seed = next++) <= seeds.last;) {
       ChangeResult one;
-      if (ways.real) {
-        const fs::path folder = (ways.out.empty() ? fs::temp_directory_path() : fs::path(ways.out)) /
-                                ("changes-" + std::to_string(getpid()) + "-" + std::to_string(seed));
+      if (run_options.real) {
+        const fs::path folder =
+            (run_options.out.empty() ? fs::temp_directory_path() : fs::path(run_options.out)) /
+            ("changes-" + std::to_string(getpid()) + "-" + std::to_string(seed));
         fs::create_directories(folder);
-        one = run_changes_loopback(plan, seed, only, ways.program, folder.string());
-        if (ways.out.empty() && one.violations.empty()) fs::remove_all(folder);
+        one = run_changes_loopback(plan, seed, only, run_options.program, folder.string());
+        if (run_options.out.empty() && one.violations.empty()) fs::remove_all(folder);
       } else {
         one = run_changes_virtual(plan, seed, only);
       }
@@ -358,32 +367,32 @@
                     b.description.c_str());
       broken += !one.violations.empty();
       ++runs[one.fault];
-      auto& all = by_trouble[one.fault].propagation_ms;
+      auto& all = results_by_fault[one.fault].propagation_ms;
       all.insert(all.end(), one.propagation_ms.begin(), one.propagation_ms.end());
-      rest.push_back(one.idle_bytes_per_second);
-      busy.push_back(one.change_bytes_per_second);
-      most.push_back(one.max_change_bytes_per_second);
+      idle.push_back(one.idle_bytes_per_second);
+      after_change.push_back(one.change_bytes_per_second);
+      max_after_change.push_back(one.max_change_bytes_per_second);
     }
   };
   std::vector<std::thread> threads;
-  for (unsigned i = 0; i < std::max(1u, ways.jobs); ++i) threads.emplace_back(work);
+  for (unsigned i = 0; i < std::max(1u, run_options.jobs); ++i) threads.emplace_back(work);
   for (std::thread& t : threads) t.join();
-  for (const auto& [trouble, one] : by_trouble)
-    std::printf("%-16s runs=%u changes=%zu known by all: %s\n", trouble.c_str(), runs[trouble],
-                one.propagation_ms.size(), spread_of(one.propagation_ms, "ms").c_str());
+  for (const auto& [fault, one] : results_by_fault)
+    std::printf("%-16s runs=%u changes=%zu known by all: %s\n", fault.c_str(), runs[fault],
+                one.propagation_ms.size(), format_spread(one.propagation_ms, "ms").c_str());
   const auto mean = [](const std::vector<double>& v) {
     return std::accumulate(v.begin(), v.end(), 0.0) / static_cast<double>(std::max<std::size_t>(v.size(), 1));
   };
   std::printf(
       "nodes=%u bytes a node and second: at rest %.0f, in the %.0f s after a change %.0f, the most of one "
       "node %.0f\n",
-      plan.nodes, mean(rest), flintweir::seconds(plan.propagation_limit), mean(busy),
-      most.empty() ? 0 : *std::max_element(most.begin(), most.end()));
-  std::printf("%zu runs, %u broken\n", rest.size(), broken);
+      plan.nodes, mean(idle), flintweir::seconds(plan.propagation_limit), mean(after_change),
+      max_after_change.empty() ? 0 : *std::max_element(max_after_change.begin(), max_after_change.end()));
+  std::printf("%zu runs, %u broken\n", idle.size(), broken);
   return broken ? 1 : 0;
 }
 
-int leases(Seeds seeds, const RunWays& ways, const std::string& only) {
+int leases(Seeds seeds, const RunOptions& run_options, const std::string& only) {
   const auto& kinds = lease_faults();
   if (!only.empty() && std::find(kinds.begin(), kinds.end(), only) == kinds.end())
     throw InputError("leases: unknown trouble '" + only + "'");
@@ -392,15 +401,16 @@
   std::map<std::string, std::vector<double>> gaps_by_fault;
   std::mutex mutex;
   std::atomic<std::uint64_t> next{seeds.first};
-  const std::string self = fs::read_symlink("/proc/self/exe").string();
+  const std::string lab_program = fs::read_symlink("/proc/self/exe").string();
   const auto work = [&] {
     for (std::uint64_t seed; (seed = next++) <= seeds.last;) {
-      const fs::path folder = (ways.out.empty() ? fs::temp_directory_path() : ways.out) /
+      const fs::path folder = (run_options.out.empty() ? fs::temp_directory_path() : run_options.out) /
                               ("leases-" + std::to_string(getpid()) + "-" + std::to_string(seed));
       fs::create_directories(folder);
-      const LeaseRun one = ways.real ? run_leases(seed, only, ways.program, self, folder.string())
-                                     : run_leases_virtual(seed, only, ways.holders);
-      if (ways.out.empty()) fs::remove_all(folder);
+      const LeaseRun one = run_options.real
+                               ? run_leases(seed, only, run_options.program, lab_program, folder.string())
+                               : run_leases_virtual(seed, only, run_options.holders);
+      if (run_options.out.empty()) fs::remove_all(folder);
       const std::lock_guard lock(mutex);
       ++runs, operations += one.operations, refused += one.refused,
           requests_per_second += one.requests_per_second;
@@ -412,7 +422,7 @@
     }
   };
   std::vector<std::thread> threads;
-  for (unsigned i = 0; i < ways.jobs; ++i) threads.emplace_back(work);
+  for (unsigned i = 0; i < run_options.jobs; ++i) threads.emplace_back(work);
   for (std::thread& t : threads) t.join();
   std::printf("%llu runs, %llu acts, %llu refused, %.0f datagrams a second at each voter; rules %s\n",
               static_cast<unsigned long long>(runs), static_cast<unsigned long long>(operations),
@@ -420,45 +430,46 @@
               requests_per_second / static_cast<double>(std::max<std::uint64_t>(runs, 1)),
               broken ? "broken" : "kept");
   for (const auto& [fault, values] : gaps_by_fault)
-    std::printf("%-16s nobody acted for: %s\n", fault.c_str(), spread_of(values, "ms").c_str());
+    std::printf("%-16s nobody acted for: %s\n", fault.c_str(), format_spread(values, "ms").c_str());
   return broken ? 1 : 0;
 }
 
-int crossings(const std::string& only, unsigned jobs) {
+// Tests all interleavings whose text contains `only`; prints the first 20 violations.
+int run_all_interleavings(const std::string& only, unsigned jobs) {
   const std::vector<Interleaving> all = all_interleavings();
-  std::atomic<std::size_t> next{0}, played{0}, broken{0};
+  std::atomic<std::size_t> next{0}, tested{0}, broken{0};
   std::vector<std::string> first(all.size());
   std::vector<std::thread> threads;
   for (unsigned i = 0; i < jobs; ++i)
     threads.emplace_back([&] {
       for (std::size_t n; (n = next++) < all.size();) {
         if (to_text(all[n]).find(only) == std::string::npos) continue;
-        ++played;
+        ++tested;
         const auto found = run_interleaving(all[n]);
         if (!found.empty()) ++broken, first[n] = found.front();
       }
     });
   for (std::thread& t : threads) t.join();
-  unsigned told = 0;
-  for (std::size_t n = 0; n < all.size() && told < 20; ++n)
+  unsigned printed = 0;
+  for (std::size_t n = 0; n < all.size() && printed < 20; ++n)
     if (!first[n].empty())
-      ++told, std::printf("broken: rule=%s (%s)\n", first[n].c_str(), to_text(all[n]).c_str());
-  std::printf("%zu crossings played, %zu broken\n", played.load(), broken.load());
+      ++printed, std::printf("broken: rule=%s (%s)\n", first[n].c_str(), to_text(all[n]).c_str());
+  std::printf("%zu crossings played, %zu broken\n", tested.load(), broken.load());
   return broken ? 1 : 0;
 }
 
 int search(std::uint64_t states, Seeds seeds, unsigned jobs) {
   bool broken = false;
-  const auto tell = [&](const char* what, const LeaseSearchOptions& of, const LeaseSearchResult& found,
-                        const char* unit) {
+  const auto print_result = [&](const char* what, const LeaseSearchOptions& options,
+                                const LeaseSearchResult& found, const char* unit) {
     std::printf(
         "%-8s %u would-be holders, voters %s, %s%s: %llu %s, %llu grants, depth %u, %.1f s; rules %s\n", what,
-        of.candidates, of.voter_storage ? "with folders" : "without",
-        of.starts_held ? "one holds" : "all begin",
-        of.max_restarts     ? ", restarts"
-        : of.max_duplicates ? ", doubles"
-        : of.allow_release  ? ", lets go"
-                            : "",
+        options.candidates, options.voter_storage ? "with folders" : "without",
+        options.starts_held ? "one holds" : "all begin",
+        options.max_restarts     ? ", restarts"
+        : options.max_duplicates ? ", doubles"
+        : options.allow_release  ? ", lets go"
+                                 : "",
         static_cast<unsigned long long>(found.states), unit, static_cast<unsigned long long>(found.grants),
         found.depth, found.wall_seconds, found.violation ? "broken" : "kept");
     if (found.violation) std::printf("broken: %s\n", found.violation->c_str());
@@ -467,11 +478,11 @@
   std::vector<LeaseSearchOptions> all;
   for (const bool folders : {false, true}) {
     for (const bool held : {false, true}) {
-      LeaseSearchOptions plain;
-      plain.voter_storage = folders, plain.starts_held = held, plain.max_states = states;
-      LeaseSearchOptions restarts = plain, doubles = plain, releases = plain;
-      restarts.max_restarts = 2, doubles.max_duplicates = 1, releases.allow_release = true;
-      for (const LeaseSearchOptions& one : {plain, restarts, doubles, releases}) all.push_back(one);
+      LeaseSearchOptions common;
+      common.voter_storage = folders, common.starts_held = held, common.max_states = states;
+      LeaseSearchOptions restarts = common, duplicates = common, releases = common;
+      restarts.max_restarts = 2, duplicates.max_duplicates = 1, releases.allow_release = true;
+      for (const LeaseSearchOptions& one : {common, restarts, duplicates, releases}) all.push_back(one);
     }
   }
   std::vector<LeaseSearchResult> found(all.size());
@@ -482,31 +493,31 @@
       for (std::size_t n; (n = next++) < all.size();) found[n] = search_leases(all[n]);
     });
   for (std::thread& t : threads) t.join();
-  for (std::size_t i = 0; i < all.size(); ++i) tell("search", all[i], found[i], "states");
+  for (std::size_t i = 0; i < all.size(); ++i) print_result("search", all[i], found[i], "states");
   for (const bool folders : {false, true}) {
-    LeaseSearchOptions of;
-    of.voter_storage = folders;
-    tell("walks", of, random_walk_leases(of, seeds.first, seeds.last, 400), "steps");
+    LeaseSearchOptions options;
+    options.voter_storage = folders;
+    print_result("walks", options, random_walk_leases(options, seeds.first, seeds.last, 400), "steps");
   }
   return broken ? 1 : 0;
 }
 
-int run(const std::string& file, const std::string& variant, Seeds seeds, RunWays ways, bool alone,
+int run(const std::string& file, const std::string& variant, Seeds seeds, RunOptions run_options, bool alone,
         bool json) {
   const Experiment e = read(file, variant);
-  const bool own_folder = ways.out.empty() && file.empty() && !json;
-  if (own_folder) ways.out = fs::temp_directory_path() / ("flintweir-lab-" + std::to_string(getuid()));
-  if (!ways.out.empty()) fs::create_directories(ways.out);
+  const bool own_folder = run_options.out.empty() && file.empty() && !json;
+  if (own_folder) run_options.out = fs::temp_directory_path() / ("flintweir-lab-" + std::to_string(getuid()));
+  if (!run_options.out.empty()) fs::create_directories(run_options.out);
   std::vector<RunSet> sets;
-  const std::string title = ways.real ? "real program" : e.node.balancer;
-  sets.push_back(run_set(e, variant.empty() ? title : variant, seeds, ways));
-  if (!alone && !ways.real && e.node.balancer == "module") {
+  const std::string title = run_options.real ? "real program" : e.node.balancer;
+  sets.push_back(run_set(e, variant.empty() ? title : variant, seeds, run_options));
+  if (!alone && !run_options.real && e.node.balancer == "module") {
     for (const char* balancer : {"random", "round-robin", "least-connections"}) {
       Experiment other = e;
       other.node.balancer = balancer;
-      RunWays plain = ways;
-      plain.until_broken = plain.keep_logs = false;
-      sets.push_back(run_set(other, balancer, seeds, plain));
+      RunOptions baseline_options = run_options;
+      baseline_options.until_broken = baseline_options.keep_logs = false;
+      sets.push_back(run_set(other, balancer, seeds, baseline_options));
     }
   }
   if (json) {
@@ -521,16 +532,16 @@
         static_cast<unsigned long long>(sets[0].checks()), sets[0].hash().c_str(),
         sets[0].virtual_seconds() / std::max(sets[0].wall_seconds(), 1e-9));
     print_table(sets);
-    print_broken(sets[0], file);
+    print_violations(sets[0], file);
   }
-  if (!ways.out.empty()) {
-    write(ways.out / "report.html", report_page(sets));
-    if (!json) std::printf("\nreport: %s\n", (ways.out / "report.html").string().c_str());
+  if (!run_options.out.empty()) {
+    write(run_options.out / "report.html", report_page(sets));
+    if (!json) std::printf("\nreport: %s\n", (run_options.out / "report.html").string().c_str());
   }
   return sets[0].broken() ? 1 : 0;
 }
 
-std::vector<RunSet> sets_of(const nlohmann::json& json) {
+std::vector<RunSet> run_sets_from_json(const nlohmann::json& json) {
   std::vector<RunSet> out;
   if (!json.is_array()) return {RunSet::from_json(json)};
   for (const auto& j : json) out.push_back(RunSet::from_json(j));
@@ -549,23 +560,24 @@
   for (std::size_t n; (n = std::fread(bytes, 1, sizeof bytes, pipe)) > 0;) text.append(bytes, n);
   pclose(pipe);
   try {
-    return sets_of(nlohmann::json::parse(text)).at(0);
+    return run_sets_from_json(nlohmann::json::parse(text)).at(0);
   } catch (const std::exception&) {
     throw InputError("--base: '" + program + "' does not print results in the expected format");
   }
 }
 
+// Compares the means over seeds of a base (build or variant) and the experiment, with the standard error.
 int compare(const std::string& file, const std::string& variant, const std::string& base, Seeds seeds,
             unsigned jobs) {
-  RunWays ways;
-  ways.jobs = jobs;
+  RunOptions run_options;
+  run_options.jobs = jobs;
   const Experiment e = read(file, variant);
   const bool program = base.find('/') != base.npos;
   if (program && access(base.c_str(), X_OK) != 0)
     throw InputError("--base: '" + base + "' is not an executable program");
   const RunSet before = program ? run_program(base, file, seeds, jobs)
-                                : run_set(read(file, base == "file" ? "" : base), base, seeds, ways);
-  const RunSet now = run_set(e, variant.empty() ? "file" : variant, seeds, ways);
+                                : run_set(read(file, base == "file" ? "" : base), base, seeds, run_options);
+  const RunSet now = run_set(e, variant.empty() ? "file" : variant, seeds, run_options);
   std::printf("%-14s %12s %12s %12s %10s\n", "", base.substr(0, 12).c_str(), now.title.substr(0, 12).c_str(),
               "difference", "noise");
   for (const std::string& name : e.measures) {
@@ -591,6 +603,7 @@
   return now.broken() ? 1 : 0;
 }
 
+// Finds the smallest set of faults with which the seed still breaks a rule.
 int shrink_run(const std::string& file, const std::string& variant, std::uint64_t seed, unsigned jobs) {
   const Experiment e = read(file, variant);
   const auto left = shrink(e, seed, jobs, [](std::size_t n, bool fails) {
@@ -601,14 +614,15 @@
   const std::vector<Fault> all = draw_faults(e.faults, e.fleet, e.duration, seed);
   std::printf("%zu of %zu faults still break it:\n", left->size(), all.size());
   for (const std::size_t i : *left) std::printf("  %s\n", to_text(all[i], e.fleet).c_str());
-  const RunResult ran = run_virtual(e, seed, {}, *left);
-  for (const Violation& v : ran.outcome.violations)
+  const RunResult result = run_virtual(e, seed, {}, *left);
+  for (const Violation& v : result.outcome.violations)
     std::printf("broken: rule=%s seed=%llu at=%.3fs session=%016llx: %s\n", name_of(v.rule),
                 static_cast<unsigned long long>(seed), static_cast<double>(v.at.count()) / 1e6,
                 static_cast<unsigned long long>(v.session.value), v.what.c_str());
   return 1;
 }
 
+// Writes report.html from all result files of the folder; baselines come last.
 int report(const fs::path& folder) {
   std::vector<fs::path> files;
   if (!fs::is_directory(folder)) throw InputError(folder.string() + ":0: folder: does not exist");
@@ -619,17 +633,17 @@
   for (const fs::path& f : files) {
     try {
       std::ifstream in(f);
-      for (RunSet& s : sets_of(nlohmann::json::parse(in))) sets.push_back(std::move(s));
+      for (RunSet& s : run_sets_from_json(nlohmann::json::parse(in))) sets.push_back(std::move(s));
     } catch (const nlohmann::json::exception& e) {
       throw InputError(f.string() + ":1: file: is not the result of a run");
     }
   }
   if (sets.empty()) throw InputError(folder.string() + ":0: folder: holds no results");
   std::stable_sort(sets.begin(), sets.end(), [](const RunSet& a, const RunSet& b) {
-    const auto plain = [](const RunSet& s) {
+    const auto is_baseline = [](const RunSet& s) {
       return s.title == "random" || s.title == "round-robin" || s.title == "least-connections";
     };
-    return plain(a) < plain(b);
+    return is_baseline(a) < is_baseline(b);
   });
   write(folder / "report.html", report_page(sets));
   std::printf("%s\n", (folder / "report.html").string().c_str());
@@ -669,8 +683,8 @@
   CLI::App app{"Runs experiments on flintweir in virtual time, or against the real program on loopback."};
   app.require_subcommand(1);
   std::string file, variant, seeds = "1", base, program, folder = "lab", only;
-  RunWays ways;
-  ways.jobs = std::max(1u, std::thread::hardware_concurrency());
+  RunOptions run_options;
+  run_options.jobs = std::max(1u, std::thread::hardware_concurrency());
   std::uint64_t seed = 1;
   bool alone = false, json = false;
 
@@ -682,26 +696,28 @@
   run_command->add_option("FILE", file, "the experiment");
   run_command->add_option("--variant", variant, "one of its variants");
   run_command->add_option("--seeds", seeds, "a seed, or a range A..B")->capture_default_str();
-  run_command->add_option("--jobs", ways.jobs, "runs at a time")
+  run_command->add_option("--jobs", run_options.jobs, "runs at a time")
       ->check(CLI::Range(1u, 256u))
       ->capture_default_str();
-  run_command->add_option("--out", ways.out, "folder for results and the report");
+  run_command->add_option("--out", run_options.out, "folder for results and the report");
   run_command->add_flag("--json", json, "print results as JSON");
-  run_command->add_flag("--real", ways.real, "against the real program, on loopback, in real time");
+  run_command->add_flag("--real", run_options.real, "against the real program, on loopback, in real time");
   run_command->add_option("--program", program, "the real program; without it the one beside this");
   run_command
       ->add_option_function<std::string>(
           "--knows-by",
-          [&](const std::string& way) {
-            if (way != "view")
-              ways.plain = way == "swim" ? BaselineProtocol::swim : BaselineProtocol::heartbeats;
+          [&](const std::string& protocol) {
+            if (protocol != "view")
+              run_options.baseline_protocol =
+                  protocol == "swim" ? BaselineProtocol::swim : BaselineProtocol::heartbeats;
           },
           "of an experiment on the fleet's view: the nodes' own, or a plain way to hold it against")
       ->check(CLI::IsMember({"view", "heartbeats", "swim"}));
   run_command->add_option("--only", only, "of an experiment on the fleet's view: one kind of trouble");
   run_command->add_flag("--alone", alone, "without the baselines");
-  run_command->add_flag("--logs", ways.keep_logs, "keep event logs and what nodes log, in the folder");
-  run_command->add_flag("--until-broken", ways.until_broken, "stop at the first seed that breaks a rule");
+  run_command->add_flag("--logs", run_options.keep_logs, "keep event logs and what nodes log, in the folder");
+  run_command->add_flag("--until-broken", run_options.until_broken,
+                        "stop at the first seed that breaks a rule");
 
   std::string ledger, as;
   CLI::App* const act_command =
@@ -712,32 +728,33 @@
       app.add_subcommand("leases", "nodes that hold a lease in turn, with faults between them, and a ledger");
   leases_command->add_option("--seeds", seeds, "a range A..B");
   leases_command->add_option("--only", only, "one kind of trouble");
-  leases_command->add_flag("--real", ways.real, "with processes of the real program");
-  leases_command->add_option("--holders", ways.holders, "that want it, in virtual time")
+  leases_command->add_flag("--real", run_options.real, "with processes of the real program");
+  leases_command->add_option("--holders", run_options.holders, "that want it, in virtual time")
       ->check(CLI::Range(2u, 1000u));
   leases_command->add_option("--program", program, "the real program; without it the one beside this");
-  leases_command->add_option("--jobs", ways.jobs, "rigs at a time")->check(CLI::Range(1u, 64u));
-  leases_command->add_option("--out", ways.out, "folder for logs");
+  leases_command->add_option("--jobs", run_options.jobs, "rigs at a time")->check(CLI::Range(1u, 64u));
+  leases_command->add_option("--out", run_options.out, "folder for logs");
   CLI::App* const changes_command = app.add_subcommand(
       "changes", "changes of configuration carried through a fleet, with troubles between its nodes");
   ChangeExperimentPlan change_plan;
   changes_command->add_option("--seeds", seeds, "a range A..B");
   changes_command->add_option("--only", only, "one kind of trouble");
   changes_command->add_option("--nodes", change_plan.nodes, "of the fleet")->check(CLI::Range(3u, 2000u));
-  changes_command->add_flag("--real", ways.real, "with processes of the real program");
+  changes_command->add_flag("--real", run_options.real, "with processes of the real program");
   changes_command->add_option("--program", program, "the real program; without it the one beside this");
-  changes_command->add_option("--jobs", ways.jobs, "rigs at a time")->check(CLI::Range(1u, 64u));
-  changes_command->add_option("--out", ways.out, "folder for logs");
-  CLI::App* const hollow_command = app.add_subcommand(
+  changes_command->add_option("--jobs", run_options.jobs, "rigs at a time")->check(CLI::Range(1u, 64u));
+  changes_command->add_option("--out", run_options.out, "folder for logs");
+  CLI::App* const in_process_command = app.add_subcommand(
       "hollow", "a fleet of hollow nodes on real datagrams, some real programs among them");
-  InProcessFleetPlan hollow_plan;
-  hollow_command->add_option("--members", hollow_plan.members, "in all")->check(CLI::Range(30u, 1500u));
-  hollow_command->add_option("--real", hollow_plan.processes, "of them real programs")
+  InProcessFleetPlan in_process_plan;
+  in_process_command->add_option("--members", in_process_plan.members, "in all")
+      ->check(CLI::Range(30u, 1500u));
+  in_process_command->add_option("--real", in_process_plan.processes, "of them real programs")
       ->check(CLI::Range(2u, 30u));
-  hollow_command->add_option("--loss", hollow_plan.datagram_loss, "share of datagrams")
+  in_process_command->add_option("--loss", in_process_plan.datagram_loss, "share of datagrams")
       ->check(CLI::Range(0.0, 0.9));
-  hollow_command->add_option("--program", program, "the real program; without it the one beside this");
-  hollow_command->add_option("--out", ways.out, "folder for logs");
+  in_process_command->add_option("--program", program, "the real program; without it the one beside this");
+  in_process_command->add_option("--out", run_options.out, "folder for logs");
   CLI::App* const scale_command =
       app.add_subcommand("scale-node", "one real node under more and more open sessions");
   std::vector<unsigned> sizes{1000, 2000, 4000, 6000, 8000, 9500};
@@ -745,7 +762,7 @@
       ->delimiter(',')
       ->check(CLI::Range(10u, 9500u));
   scale_command->add_option("--program", program, "the real program; without it the one beside this");
-  scale_command->add_option("--out", ways.out, "folder for logs");
+  scale_command->add_option("--out", run_options.out, "folder for logs");
   CLI::App* const groups_command =
       app.add_subcommand("scale-groups", "the decision module alone with many groups, hosts and sessions");
   std::vector<unsigned> group_hosts{100, 250, 500, 1000, 2000}, group_sessions{2000, 10000, 20000, 44000};
@@ -767,12 +784,12 @@
   std::uint64_t states = 300'000;
   search_command->add_option("--states", states, "told apart at most, for each beginning");
   search_command->add_option("--seeds", seeds, "walks, a range A..B")->default_str("1..2000");
-  search_command->add_option("--jobs", ways.jobs, "searches at a time")->check(CLI::Range(1u, 256u));
+  search_command->add_option("--jobs", run_options.jobs, "searches at a time")->check(CLI::Range(1u, 256u));
 
-  CLI::App* const crossings_command =
+  CLI::App* const interleavings_command =
       app.add_subcommand("crossings", "one exchange cut after each byte, with each event there");
-  crossings_command->add_option("--only", only, "those whose description holds this text");
-  crossings_command->add_option("--jobs", ways.jobs, "at a time")->check(CLI::Range(1u, 256u));
+  interleavings_command->add_option("--only", only, "those whose description holds this text");
+  interleavings_command->add_option("--jobs", run_options.jobs, "at a time")->check(CLI::Range(1u, 256u));
 
   CLI::App* const compare_command = app.add_subcommand("compare", "the same seeds, before and now");
   compare_command->add_option("FILE", file, "the experiment")->required();
@@ -780,14 +797,14 @@
       ->required();
   compare_command->add_option("--variant", variant, "what is compared with it");
   compare_command->add_option("--seeds", seeds, "a range A..B")->default_str("1..20");
-  compare_command->add_option("--jobs", ways.jobs, "runs at a time")->check(CLI::Range(1u, 256u));
+  compare_command->add_option("--jobs", run_options.jobs, "runs at a time")->check(CLI::Range(1u, 256u));
 
   CLI::App* const shrink_command =
       app.add_subcommand("shrink", "the fewest faults with which a run still fails");
   shrink_command->add_option("FILE", file, "the experiment")->required();
   shrink_command->add_option("--variant", variant, "one of its variants");
   shrink_command->add_option("--seed", seed, "the failing run's")->required();
-  shrink_command->add_option("--jobs", ways.jobs, "runs at a time")->check(CLI::Range(1u, 256u));
+  shrink_command->add_option("--jobs", run_options.jobs, "runs at a time")->check(CLI::Range(1u, 256u));
 
   CLI::App* const report_command =
       app.add_subcommand("report", "one HTML page about the results in a folder");
@@ -801,36 +818,38 @@
   try {
     if (*list_command) return list(folder);
     if (*act_command) return run_ledger_operations(ledger, as);
-    if (*hollow_command || *scale_command) {
-      ways.program = program_of(program);
-      return *hollow_command ? hollow(hollow_plan, ways) : scale(sizes, ways);
+    if (*in_process_command || *scale_command) {
+      run_options.program = program_command(program);
+      return *in_process_command ? run_in_process_fleet_command(in_process_plan, run_options)
+                                 : run_node_scaling(sizes, run_options);
     }
     if (*capacity_command) return capacity(slopes, size_file, page);
-    if (*groups_command) return scale_groups(group_hosts, group_sessions, groups, group_nodes);
+    if (*groups_command) return run_module_scaling(group_hosts, group_sessions, groups, group_nodes);
     if (*changes_command) {
-      if (ways.real) ways.program = program_of(program);
+      if (run_options.real) run_options.program = program_command(program);
       // A large fleet needs longer until every node has the complete view.
       change_plan.join_time =
           std::max<flintweir::Micros>(change_plan.join_time, change_plan.nodes * flintweir::Micros{20'000});
-      return changes(seeds_of(seeds), ways, change_plan, only);
+      return changes(parse_seeds(seeds), run_options, change_plan, only);
     }
     if (*leases_command) {
-      if (ways.real) ways.program = program_of(program);
-      return leases(seeds_of(seeds), ways, only);
+      if (run_options.real) run_options.program = program_command(program);
+      return leases(parse_seeds(seeds), run_options, only);
     }
-    if (*crossings_command) return crossings(only, ways.jobs);
+    if (*interleavings_command) return run_all_interleavings(only, run_options.jobs);
     if (*search_command)
-      return search(states, seeds_of(search_command->count("--seeds") ? seeds : "1..2000"), ways.jobs);
+      return search(states, parse_seeds(search_command->count("--seeds") ? seeds : "1..2000"),
+                    run_options.jobs);
     if (*run_command) {
-      if (ways.real) ways.program = program_of(program);
+      if (run_options.real) run_options.program = program_command(program);
       if (!file.empty() && MembershipPlan::is_membership_experiment(file))
-        return run_fleet(file, variant, seeds_of(seeds), ways, only);
-      return run(file, variant, seeds_of(seeds), ways, alone, json);
+        return run_fleet(file, variant, parse_seeds(seeds), run_options, only);
+      return run(file, variant, parse_seeds(seeds), run_options, alone, json);
     }
     if (*compare_command)
-      return compare(file, variant, base, seeds_of(compare_command->count("--seeds") ? seeds : "1..20"),
-                     ways.jobs);
-    if (*shrink_command) return shrink_run(file, variant, seed, ways.jobs);
+      return compare(file, variant, base, parse_seeds(compare_command->count("--seeds") ? seeds : "1..20"),
+                     run_options.jobs);
+    if (*shrink_command) return shrink_run(file, variant, seed, run_options.jobs);
     return report(folder);
   } catch (const InputError& e) {
     std::fprintf(stderr, "flintweir-lab: %s\n", e.what());
